--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -97,14 +97,14 @@
     Mutation(
         'leader serves reads without asking a quorum',
         'ringseam/control/raftreplication.py',
-        'self.reads[0].round_number <= agreed',
+        'self.reads[0].round_number <= quorum_index',
         'self.reads[0].round_number <= self.read_round',
         CONTROL,
     ),
     Mutation(
         'no check of the quorum by the leader',
         'ringseam/control/raft.py',
-        'if heard < self.membership.quorum:',
+        'if reachable < self.membership.quorum:',
         'if heard < 0:',
         CONTROL,
     ),
@@ -125,7 +125,7 @@
     Mutation(
         'blank folders are never taken in',
         'ringseam/control/membership.py',
-        'if now - blank.seen <= _SEEN_S and membership.find(disk) is None',
+        'if now - non_member.last_seen <= _NON_MEMBER_TTL_S and membership.find(disk) is None',
         'if False',
         CONTROL,
     ),
@@ -146,7 +146,7 @@
     Mutation(
         'damage in the middle is cut like a torn tail',
         'ringseam/control/storage.py',
-        'if bad is not None and (not last or _has_record_after(raw, bad)):',
+        'if bad_offset is not None and (not last or _has_valid_record_after(raw, bad_offset)):',
         'if bad is not None and not last:',
         CONTROL,
     ),
@@ -237,15 +237,15 @@
     Mutation(
         'the log is compacted by entries, never by bytes',
         'ringseam/control/replica.py',
-        'return log.bytes_between(first, self.raft.applied) >= most_bytes',
+        'return log.bytes_between(first, self.raft.applied_index) >= max_bytes',
         'return False',
         'tests/test_control',
     ),
     Mutation(
         'entries go out again until a follower answers',
         'ringseam/control/raftreplication.py',
-        'if progress.probing or following > self.log.last_index:',
-        'if following > self.log.last_index:',
+        'if progress.probing or next_index > self.log.last_index:',
+        'if next_index > self.log.last_index:',
         'tests/test_control',
     ),
     Mutation(
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -77,7 +77,7 @@
     memory, deltas, merges, sizes = [], [], [], []
     for count in (500, 1000, 2000, 4000):
         tracemalloc.start()
-        rows = Directory(epoch='e', lost_s=3)
+        rows = Directory(epoch='e', expiry_s=3)
         for number in range(count):
             state = msgspec.msgpack.encode(agent_state(number))
             rows.report(msgspec.msgpack.decode(state, type=AgentState), 0)
@@ -139,7 +139,7 @@
 
 
 async def _dispatch():
-    rows = Directory(epoch='e', lost_s=3)
+    rows = Directory(epoch='e', expiry_s=3)
 
     async def report(received):
         rows.report(received.body, 0)
--- a/ringseam/control/diskwait.py
+++ b/ringseam/control/diskwait.py
@@ -36,16 +36,16 @@
         :raises StorageError: when ``stopped`` says so meanwhile.
         """
         began = self.node.clock.now()
-        if await self._takes_bytes():
+        if await self._is_writable():
             return
         self.node.events.emit(logger, Event.storage_waited_for)
-        while not await self._takes_bytes():
+        while not await self._is_writable():
             if stopped():
                 raise StorageError('stopped while the data folder took no bytes')
             await asyncio.sleep(DISK_RETRY_S)
         waited_s = round(self.node.clock.now() - began, 3)
         self.node.events.emit(logger, Event.storage_regained, waited_s=waited_s)
 
-    async def _takes_bytes(self) -> bool:
+    async def _is_writable(self) -> bool:
         # A disk that stalls must not hold up the signals of this process.
-        return await asyncio.to_thread(self.storage.takes_bytes)
+        return await asyncio.to_thread(self.storage.is_writable)
--- a/ringseam/control/documentservice.py
+++ b/ringseam/control/documentservice.py
@@ -75,7 +75,7 @@
 
     async def accept(self, submit: Submit) -> DocumentHeld | NotYet | Redirect:
         """Commit a document; answer once the gateways that are heard have it."""
-        if not self.follow.leadership.serves:
+        if not self.follow.leadership.can_serve:
             return self.follow.redirect
         if not self.follow.bears_losses:
             return NotYet()
@@ -108,7 +108,9 @@
 
     async def newest(self) -> DocumentHeld | Redirect:
         """Return the newest document, after a quorum has confirmed the leader."""
-        if not self.follow.leadership.serves or isinstance(await self.follow.confirm(), NotLeading):
+        if not self.follow.leadership.can_serve or isinstance(
+            await self.follow.confirm(), NotLeading
+        ):
             return self.follow.redirect
         # What the actor applied before the barrier is on its way to this loop.
         await asyncio.sleep(0)
--- a/ringseam/control/follow.py
+++ b/ringseam/control/follow.py
@@ -18,7 +18,7 @@
     Leadership,
     NotLeading,
 )
-from ringseam.control.state import RETIRED_KEPT
+from ringseam.control.state import MAX_RETIRED_BACKENDS
 from ringseam.control.zonedraining import ZoneDraining
 from ringseam.events import Event
 from ringseam.following import (
@@ -93,7 +93,7 @@
         self.voters_needed = voters_needed
         self.silent_s = _SILENT_REPORTS * report_s
         self.held = HeldDocument()
-        self.retired = Ended(kept=RETIRED_KEPT)
+        self.retired = Ended(kept=MAX_RETIRED_BACKENDS)
         self.leadership = Leadership()
         self.directory = self._new_directory()
         self.changed = asyncio.Event()
@@ -101,7 +101,7 @@
             node=node,
             submit=submit,
             wake=self._wake,
-            redirect=lambda: None if self.leadership.serves else self.redirect,
+            redirect=lambda: None if self.leadership.can_serve else self.redirect,
             is_planned=self._is_leaving,
         )
         self.documents = DocumentService(follow=self)
@@ -118,7 +118,7 @@
         if held.number > self.held.number:
             self.documents.history.add(held.number, held.document)
         if held.retired != self.held.retired:
-            self.retired = Ended(kept=RETIRED_KEPT)
+            self.retired = Ended(kept=MAX_RETIRED_BACKENDS)
             for backend in held.retired:
                 self.retired.add(backend)
         self.held = held
@@ -127,7 +127,7 @@
 
     def lead(self, leadership: Leadership) -> None:
         """Hear who leads."""
-        begins = leadership.serves and not self.leadership.serves
+        begins = leadership.can_serve and not self.leadership.can_serve
         self.leadership = leadership
         if begins:
             self.directory = self._new_directory()
@@ -159,14 +159,14 @@
     async def watch(self, received: Received) -> WatchReply:
         """Return news to a gateway, waiting a little for some."""
         request: WatchRequest = received.body
-        if not self.leadership.serves:
+        if not self.leadership.can_serve:
             return WatchReply(reply=self.redirect)
         if not request.number and isinstance(await self.confirm(), NotLeading):
             return WatchReply(reply=self.redirect)
         self.directory.follow(request, self.node.clock.now())
         self._wake()
         await self.wait(lambda: self._has_news(request), WATCH_S)
-        if not self.leadership.serves:
+        if not self.leadership.can_serve:
             return WatchReply(reply=self.redirect)
         news = self.directory.news(request, self.node.clock.now())
         return WatchReply(
@@ -195,7 +195,7 @@
         report: BackendReport,
     ) -> ReportTaken | ReportForeign | Redirect:
         """Take a backend server's report; a leave only once it is known."""
-        if not self.leadership.serves:
+        if not self.leadership.can_serve:
             return self.redirect
         if not born_of(report.instance):
             named = self.directory.with_lifetime(report, self.node.clock.wall_ms())
--- a/ringseam/control/founding.py
+++ b/ringseam/control/founding.py
@@ -27,12 +27,12 @@
 logger = logging.getLogger(__name__)
 
 #: Between two rounds of greetings, seconds.
-_HELLO_S = 0.25
-#: A greeting that is unanswered for this long is lost, seconds.
+_HELLO_INTERVAL_S = 0.25
+#: A hello that is unanswered for this long is lost, seconds.
 _HELLO_TIMEOUT_S = 0.8
 
 
-def wanted_voters(own: dict[str, Any]) -> int:
+def target_voters(own: dict[str, Any]) -> int:
     """Return how many voters bear the losses of the settings; 0: no limit."""
     return 2 * own['tolerated_losses'] + 1 if own['seeds'] else 0
 
@@ -42,7 +42,7 @@
     return tuple(f'{split_address(seed)[0]}:{ports[0]}' for seed in seeds)
 
 
-class Introduction:
+class GroupDiscovery:
     """Greet the known replicas until this folder is a member."""
 
     def __init__(
@@ -58,64 +58,66 @@
         self.client = client
         self.actor = actor
         own = settings.own
-        self.first = tuple(settings.process['control'])
+        self.initial_addresses = tuple(settings.process['control'])
         if own['seeds']:
-            self.first = cluster_addresses(own['seeds'], own['cluster_ports'])
+            self.initial_addresses = cluster_addresses(own['seeds'], own['cluster_ports'])
         self.may_found = own['may_found']
-        self.known = set(self.first)
+        self.known_addresses = set(self.initial_addresses)
 
     def add_seeds(self, settings: Settings) -> None:
         """Learn of further replicas."""
         own = settings.own
-        self.known.update(cluster_addresses(own['seeds'], own['cluster_ports']))
+        self.known_addresses.update(cluster_addresses(own['seeds'], own['cluster_ports']))
 
-    def addresses(self) -> list[str]:
+    def peer_addresses(self) -> list[str]:
         """Return all known addresses of replicas but this one's."""
-        return sorted(self.known - {self.node.address})
+        return sorted(self.known_addresses - {self.node.address})
 
     async def run(self) -> None:
         """Greet while this folder is no member or hears no leader."""
         while True:  # noqa: WPS457 - ends with the role
             status: ReplicaStatus = await ask(self.actor, GetReplicaStatus())
-            self.known.update(member.address for member in status.members)
-            if not self._is_settled(status):
-                await self._greet(status)
-            await asyncio.sleep(_HELLO_S)
+            self.known_addresses.update(member.address for member in status.members)
+            if not self._has_joined(status):
+                await self._exchange_hellos(status)
+            await asyncio.sleep(_HELLO_INTERVAL_S)
 
-    def _is_settled(self, status: ReplicaStatus) -> bool:
+    def _has_joined(self, status: ReplicaStatus) -> bool:
         member = any(member.disk == status.disk for member in status.members)
         return bool(status.group) and member and bool(status.leader)
 
-    async def _greet(self, status: ReplicaStatus) -> None:
-        greeting = HelloRequest(
+    async def _exchange_hellos(self, status: ReplicaStatus) -> None:
+        hello = HelloRequest(
             disk=status.disk,
             address=self.node.address,
             group=status.group,
         )
-        addresses = self.addresses()
-        replies = await asyncio.gather(*(self._hello(peer, greeting) for peer in addresses))
+        addresses = self.peer_addresses()
+        replies = await asyncio.gather(*(self._send_hello(peer, hello) for peer in addresses))
         answers = {peer: reply for peer, reply in zip(addresses, replies, strict=True) if reply}
         for reply in answers.values():
-            self.known.update(reply.members)
+            self.known_addresses.update(reply.members)
         if not status.group and self.may_found:
-            self._found(status, answers)
+            self._create_group_if_ready(status, answers)
 
-    async def _hello(self, address: str, greeting: HelloRequest) -> HelloReply | None:
+    async def _send_hello(self, address: str, hello: HelloRequest) -> HelloReply | None:
         try:
-            reply = await self.client.call(address, HELLO, greeting, timeout_s=_HELLO_TIMEOUT_S)
+            reply = await self.client.call(address, HELLO, hello, timeout_s=_HELLO_TIMEOUT_S)
         except UnreachableError as error:
-            logger.debug('greeting unanswered: %s', error)
+            logger.debug('hello unanswered: %s', error)
             return None
         return reply.body
 
-    def _found(self, status: ReplicaStatus, answers: dict[str, HelloReply]) -> None:
+    def _create_group_if_ready(self, status: ReplicaStatus, answers: dict[str, HelloReply]) -> None:
         """Found a group when every first address answers and is blank.
 
         Only the lowest address founds: two lost folders out of three must not
         begin a new history.
         """
-        others = [address for address in self.first if address != self.node.address]
-        if self.node.address != min(self.first) or any(peer not in answers for peer in others):
+        others = [address for address in self.initial_addresses if address != self.node.address]
+        if self.node.address != min(self.initial_addresses) or any(
+            peer not in answers for peer in others
+        ):
             return
         if any(reply.group for reply in answers.values()):
             return
--- a/ringseam/control/peerlinks.py
+++ b/ringseam/control/peerlinks.py
@@ -25,7 +25,7 @@
 #: Pause before a broken stream is opened again, seconds.
 _RECONNECT_S = 0.1
 #: Packets that wait for a slow peer; Raft sends again what is dropped.
-_PEER_QUEUE = 1024
+_PEER_QUEUE_PACKETS = 1024
 
 
 class PeerLinks:
@@ -41,13 +41,13 @@
     def send(self, address: str, packet: Packet) -> None:
         """Queue a packet; Raft sends again what is lost."""
         if address not in self.queues:
-            self.queues[address] = asyncio.Queue(_PEER_QUEUE)
-            self.spawn(self._pass_on(address))
+            self.queues[address] = asyncio.Queue(_PEER_QUEUE_PACKETS)
+            self.spawn(self._run_stream(address))
         with contextlib.suppress(asyncio.QueueFull):
             self.queues[address].put_nowait(packet)
             self.metrics.add('peer_bytes', packet.payload_bytes, peer=address)
 
-    async def _pass_on(self, address: str) -> None:
+    async def _run_stream(self, address: str) -> None:
         while True:  # noqa: WPS457 - ends with the role
             try:
                 await self.client.stream(address, PACKETS, self.queues[address])
--- a/ringseam/control/raft.py
+++ b/ringseam/control/raft.py
@@ -21,7 +21,7 @@
     encode_membership,
 )
 from ringseam.control.raftreplication import Replication
-from ringseam.control.raftstate import FIRST_ELECTION, PendingRead, RaftRole, Ready
+from ringseam.control.raftstate import EARLY_ELECTION_FRACTION, PendingRead, RaftRole, Ready
 
 
 class Raft(Replication):  # noqa: WPS214 - one algorithm, many small rules
@@ -30,13 +30,13 @@
     @property
     def can_serve(self) -> bool:
         """Return whether a leader's own first entry is committed."""
-        return self.is_leader and self.log.term_at(self.commit) == self.term
+        return self.is_leader and self.log.term_at(self.commit_index) == self.term
 
     def tick(self, now: float) -> None:
         """Let time pass: campaign, or keep and check the quorum."""
         if self.is_leader:
-            self._lead(now)
-        elif now >= self.election_due and self._is_voter():
+            self._tick_leader(now)
+        elif now >= self.election_deadline and self._is_voter():
             self._campaign(now, pre=True)
 
     def step(self, source: str, message: RaftMessage, now: float) -> None:
@@ -44,7 +44,7 @@
         if isinstance(message, VoteRequest):
             self._on_vote_request(source, message, now)
             return
-        if message.term > self.term and not _is_pre_grant(message):
+        if message.term > self.term and not _is_pre_vote_grant(message):
             self._follow(message.term, '', now)
         if isinstance(message, VoteReply):
             self._on_vote_reply(source, message, now)
@@ -53,18 +53,18 @@
         elif message.term < self.term:
             self._send(source, AppendReply(term=self.term, accepted=False, match=0))
         else:
-            self._obey(source, message, now)
+            self._on_leader_message(source, message, now)
 
     def propose(self, payload: bytes) -> int | None:
         """Append a command; None when this replica doesn't lead."""
-        if not self.is_leader or self.handing_over:
+        if not self.is_leader or self.transfer_target:
             return None
         return self._append(EntryKind.command, payload)
 
     def change_membership(self, membership: Membership) -> int | None:
         """Append a change of one member; None when it can't be now."""
-        settled = self.history[-1][0] <= self.commit
-        if not (self.can_serve and settled) or self.handing_over:
+        settled = self.membership_history[-1][0] <= self.commit_index
+        if not (self.can_serve and settled) or self.transfer_target:
             return None
         return self._append(EntryKind.membership, encode_membership(membership))
 
@@ -74,22 +74,22 @@
             return False
         self.read_round += 1
         self.reads.append(
-            PendingRead(token=token, index=self.commit, round_number=self.read_round),
+            PendingRead(token=token, index=self.commit_index, round_number=self.read_round),
         )
         return True
 
-    def hand_over(self, now: float) -> bool:
-        """Give leadership to the most advanced voter; False when nobody can."""
+    def transfer_leadership(self, now: float) -> bool:
+        """Give leadership to the max_entries advanced voter; False when nobody can."""
         peers = [disk for disk in self.membership.voters if disk in self.progress]
         if not self.is_leader or not peers:
             return False
-        self.handing_over = max(peers, key=self._match_of)
-        self._try_hand_over(now)
+        self.transfer_target = max(peers, key=self._match_index)
+        self._try_transfer(now)
         return True
 
-    def persisted(self) -> None:
+    def mark_persisted(self) -> None:
         """Hear that all taken entries are synced here."""
-        self.stable = self.log.last_index
+        self.persisted_index = self.log.last_index
         if self.is_leader:
             self._advance_commit()
 
@@ -100,18 +100,18 @@
             self._release_reads()
         ready = self.ready
         self.ready = Ready()
-        hard = HardState(self.term, self.voted_for)
-        if hard != self.saved_hard:
-            ready.hard = hard
-            self.saved_hard = hard
-        ready.committed = self.log.between(self.applied + 1, self.commit)
-        self.applied = self.commit
+        hard_state = HardState(self.term, self.voted_for)
+        if hard_state != self.saved_hard_state:
+            ready.hard_state = hard_state
+            self.saved_hard_state = hard_state
+        ready.committed = self.log.between(self.applied_index + 1, self.commit_index)
+        self.applied_index = self.commit_index
         return ready
 
     def _campaign(self, now: float, *, pre: bool, transfer: bool = False) -> None:
         if not self._is_voter():
             return
-        self._postpone(now, share=FIRST_ELECTION)
+        self._reset_election_timer(now, fraction=EARLY_ELECTION_FRACTION)
         self.leader = ''
         self.votes = {self.disk: True}
         if pre:
@@ -127,13 +127,13 @@
             pre=pre,
             transfer=transfer,
         )
-        for peer in self._peers():
+        for peer in self._voting_peers():
             self._send(peer, request)
         self._count_votes(now)
 
     def _on_vote_request(self, source: str, request: VoteRequest, now: float) -> None:
-        if self._hears_leader(now) and not request.transfer:
-            self._refuse_vote(source, request)
+        if self._has_recent_leader_contact(now) and not request.transfer:
+            self._reject_vote(source, request)
             return
         if request.term > self.term and not request.pre:
             self._follow(request.term, '', now)
@@ -145,14 +145,14 @@
             free = self.voted_for in {'', source}
             granted = granted and request.term == self.term and free
         if not granted:
-            self._refuse_vote(source, request)
+            self._reject_vote(source, request)
             return
         if not request.pre:
             self.voted_for = source
-            self._postpone(now)
+            self._reset_election_timer(now)
         self._send(source, VoteReply(term=request.term, granted=True, pre=request.pre))
 
-    def _refuse_vote(self, source: str, request: VoteRequest) -> None:
+    def _reject_vote(self, source: str, request: VoteRequest) -> None:
         self._send(source, VoteReply(term=self.term, granted=False, pre=request.pre))
 
     def _on_vote_reply(self, source: str, reply: VoteReply, now: float) -> None:
@@ -175,10 +175,10 @@
     def _become_leader(self, now: float) -> None:
         self.role = RaftRole.leader
         self.leader = self.disk
-        self.handing_over = ''
+        self.transfer_target = ''
         self.reads.clear()
         self.progress = {}
-        self._track(now)
+        self._update_progress(now)
         self._append(EntryKind.noop, b'')
 
     def _follow(self, term: int, leader: str, now: float) -> None:
@@ -187,47 +187,47 @@
             self.voted_for = ''
         if self.is_leader:
             self.reads.clear()
-            self.leader_heard = float('-inf')
+            self.leader_contact_at = float('-inf')
         self.role = RaftRole.follower
         self.leader = leader
-        self.handing_over = ''
-        self._postpone(now)
+        self.transfer_target = ''
+        self._reset_election_timer(now)
 
-    def _hear_leader(self, source: str, now: float) -> None:
+    def _record_leader_contact(self, source: str, now: float) -> None:
         if self.role is not RaftRole.follower or self.leader != source:
             self._follow(self.term, source, now)
-        self.leader_heard = now
-        self._postpone(now)
+        self.leader_contact_at = now
+        self._reset_election_timer(now)
 
-    def _hears_leader(self, now: float) -> bool:
+    def _has_recent_leader_contact(self, now: float) -> bool:
         if self.is_leader:
             return True
-        return now - self.leader_heard < self.election_s
+        return now - self.leader_contact_at < self.election_s
 
-    def _lead(self, now: float) -> None:
-        self._track(now)
-        heard = 1 + sum(
+    def _tick_leader(self, now: float) -> None:
+        self._update_progress(now)
+        reachable = 1 + sum(
             1
             for disk in self.membership.voters
-            if disk in self.progress and now - self.progress[disk].heard < self.election_s
+            if disk in self.progress and now - self.progress[disk].last_contact < self.election_s
         )
         if not self._is_voter():
-            heard -= 1
-        if heard < self.membership.quorum:
+            reachable -= 1
+        if reachable < self.membership.quorum:
             self._follow(self.term, '', now)
-        elif self.handing_over and now >= self.election_due:
-            self.handing_over = ''
+        elif self.transfer_target and now >= self.election_deadline:
+            self.transfer_target = ''
 
-    def _obey(self, source: str, message: RaftMessage, now: float) -> None:
+    def _on_leader_message(self, source: str, message: RaftMessage, now: float) -> None:
         if isinstance(message, TimeoutNow):
             self._campaign(now, pre=False, transfer=True)
             return
-        self._hear_leader(source, now)
+        self._record_leader_contact(source, now)
         if isinstance(message, AppendRequest):
             self._on_append(source, message)
         elif isinstance(message, InstallRequest):
             self._on_install(source, message)
 
 
-def _is_pre_grant(message: RaftMessage) -> bool:
+def _is_pre_vote_grant(message: RaftMessage) -> bool:
     return isinstance(message, VoteReply) and message.pre and message.granted
--- a/ringseam/control/raftreplication.py
+++ b/ringseam/control/raftreplication.py
@@ -12,24 +12,24 @@
 )
 from ringseam.control.raftstate import Progress, RaftState
 
-#: Most entries in one message, and most that a follower may be behind what was sent.
-_BATCH_ENTRIES = 256
-_WINDOW_ENTRIES = 4096
+#: Most entries in one message, and max_entries that a follower may be behind what was sent.
+_MAX_BATCH_ENTRIES = 256
+_MAX_IN_FLIGHT_ENTRIES = 4096
 #: The same in bytes, for entries that are whole documents. A message is copied while
 #: it is sealed, sent and read; a window is 4 of the 300 MB of a host, for each follower.
-_BATCH_BYTES = 2**20
-_WINDOW_BYTES = 4 * 2**20
+_MAX_BATCH_BYTES = 2**20
+_MAX_IN_FLIGHT_BYTES = 4 * 2**20
 #: A snapshot that was not confirmed is sent again after this long, seconds.
-_SNAPSHOT_AGAIN_S = 2.0
+_SNAPSHOT_RESEND_S = 2.0
 
 
 class Replication(RaftState):  # noqa: WPS214 - many small rules
     """Send entries and snapshots, take them in, and count what is held."""
 
-    def _track(self, now: float) -> None:
+    def _update_progress(self, now: float) -> None:
         members = {member.disk for member in self.membership.members} - {self.disk}
         for disk in members - set(self.progress):
-            self.progress[disk] = Progress(next_index=self.log.last_index + 1, heard=now)
+            self.progress[disk] = Progress(next_index=self.log.last_index + 1, last_contact=now)
         for disk in set(self.progress) - members:
             self.progress.pop(disk)
 
@@ -39,51 +39,53 @@
         return entry.index
 
     def _replicate(self, now: float) -> None:
-        self._track(now)
+        self._update_progress(now)
         for disk, progress in self.progress.items():
             self._replicate_to(disk, progress, now)
 
     def _replicate_to(self, disk: str, progress: Progress, now: float) -> None:
         due = now - progress.sent_at >= self.heartbeat_s
-        if not due and (progress.probing or not self._has_news(progress)):
+        if not due and (progress.probing or not self._has_pending(progress)):
             return
         if self.log.term_at(progress.next_index - 1) is None:
             self._send_snapshot(disk, progress, now)
             return
         self._send_entries(disk, progress, now)
-        while self._may_send_more(progress):
+        while self._can_send_entries(progress):
             self._send_entries(disk, progress, now)
 
-    def _has_news(self, progress: Progress) -> bool:
-        if self._may_send_more(progress):
+    def _has_pending(self, progress: Progress) -> bool:
+        if self._can_send_entries(progress):
             return True
         return bool(self.reads) and progress.read_round < self.read_round
 
-    def _may_send_more(self, progress: Progress) -> bool:
+    def _can_send_entries(self, progress: Progress) -> bool:
         """Return whether entries wait that a follower has room for.
 
         None while it isn't known what the follower holds: an empty message asks
         that, where entries would go out again with every heartbeat until it answers.
         """
-        following = progress.next_index
-        if progress.probing or following > self.log.last_index:
+        next_index = progress.next_index
+        if progress.probing or next_index > self.log.last_index:
             return False
-        unconfirmed_bytes = self.log.bytes_between(progress.match + 1, following - 1)
-        in_entries = following <= progress.match + _WINDOW_ENTRIES
-        return in_entries and unconfirmed_bytes < _WINDOW_BYTES
+        unconfirmed_bytes = self.log.bytes_between(progress.match + 1, next_index - 1)
+        in_entries = next_index <= progress.match + _MAX_IN_FLIGHT_ENTRIES
+        return in_entries and unconfirmed_bytes < _MAX_IN_FLIGHT_BYTES
 
     def _send_entries(self, disk: str, progress: Progress, now: float) -> None:
         first = progress.next_index
         entries: list[LogEntry] = []
-        if self._may_send_more(progress):
-            entries = self.log.batch(first, most=_BATCH_ENTRIES, most_bytes=_BATCH_BYTES)
+        if self._can_send_entries(progress):
+            entries = self.log.batch(
+                first, max_entries=_MAX_BATCH_ENTRIES, max_bytes=_MAX_BATCH_BYTES
+            )
         self._send(
             disk,
             AppendRequest(
                 term=self.term,
                 prev_index=first - 1,
                 prev_term=self.log.term_at(first - 1) or 0,
-                commit=self.commit,
+                commit=self.commit_index,
                 read_round=self.read_round,
                 entries=tuple(entries),
             ),
@@ -94,7 +96,7 @@
 
     def _send_snapshot(self, disk: str, progress: Progress, now: float) -> None:
         progress.sent_at = now
-        if now < progress.snapshot_due:
+        if now < progress.snapshot_resend_at:
             # The follower is busy taking it: a heartbeat that any log accepts.
             self._send(
                 disk,
@@ -107,7 +109,7 @@
                 ),
             )
             return
-        progress.snapshot_due = now + _SNAPSHOT_AGAIN_S
+        progress.snapshot_resend_at = now + _SNAPSHOT_RESEND_S
         self._send(
             disk,
             InstallRequest(
@@ -121,14 +123,14 @@
         progress = self.progress.get(source)
         if not self.is_leader or progress is None or reply.term != self.term:
             return
-        progress.heard = now
+        progress.last_contact = now
         progress.read_round = max(progress.read_round, reply.read_round)
         if reply.accepted:
             progress.match = max(progress.match, reply.match)
             progress.next_index = max(progress.next_index, progress.match + 1)
             progress.probing = False
             self._advance_commit()
-            self._try_hand_over(now)
+            self._try_transfer(now)
         else:
             progress.next_index = max(1, min(progress.next_index - 1, reply.match + 1))
             progress.next_index = max(progress.next_index, progress.match + 1)
@@ -136,34 +138,34 @@
             progress.sent_at = float('-inf')
 
     def _advance_commit(self) -> None:
-        matches = sorted(self._match_of(disk) for disk in self.membership.voters)
-        agreed = matches[-self.membership.quorum]
-        if agreed > self.commit and self.log.term_at(agreed) == self.term:
-            self.commit = agreed
+        matches = sorted(self._match_index(disk) for disk in self.membership.voters)
+        quorum_index = matches[-self.membership.quorum]
+        if quorum_index > self.commit_index and self.log.term_at(quorum_index) == self.term:
+            self.commit_index = quorum_index
 
-    def _match_of(self, disk: str) -> int:
+    def _match_index(self, disk: str) -> int:
         if disk == self.disk:
-            return self.stable
+            return self.persisted_index
         progress = self.progress.get(disk)
         return progress.match if progress else 0
 
     def _release_reads(self) -> None:
         voters = self.membership.voters
         rounds = sorted(
-            self.read_round if disk == self.disk else self._round_of(disk) for disk in voters
+            self.read_round if disk == self.disk else self._confirmed_round(disk) for disk in voters
         )
-        agreed = rounds[-self.membership.quorum]
-        while self.reads and self.reads[0].round_number <= agreed:
+        quorum_index = rounds[-self.membership.quorum]
+        while self.reads and self.reads[0].round_number <= quorum_index:
             self.ready.reads.append(self.reads.pop(0).token)
 
-    def _round_of(self, disk: str) -> int:
+    def _confirmed_round(self, disk: str) -> int:
         progress = self.progress.get(disk)
         return progress.read_round if progress else 0
 
-    def _try_hand_over(self, now: float) -> None:
-        if self.handing_over and self._match_of(self.handing_over) == self.log.last_index:
-            self._send(self.handing_over, TimeoutNow(term=self.term))
-            self._postpone(now)
+    def _try_transfer(self, now: float) -> None:
+        if self.transfer_target and self._match_index(self.transfer_target) == self.log.last_index:
+            self._send(self.transfer_target, TimeoutNow(term=self.term))
+            self._reset_election_timer(now)
 
     def _on_append(self, source: str, request: AppendRequest) -> None:
         if request.prev_index < self.log.snapshot.index:
@@ -171,29 +173,29 @@
             return
         if self.log.term_at(request.prev_index) != request.prev_term:
             hint = min(self.log.last_index, request.prev_index - 1)
-            self._reply_append(source, request, accepted=False, match=max(hint, self.commit))
+            self._reply_append(source, request, accepted=False, match=max(hint, self.commit_index))
             return
         for entry in request.entries:
-            self._take_entry(entry)
+            self._accept_entry(entry)
         match = request.prev_index + len(request.entries)
-        self.commit = max(self.commit, min(request.commit, match))
+        self.commit_index = max(self.commit_index, min(request.commit, match))
         self._reply_append(source, request, accepted=True, match=match)
 
-    def _take_entry(self, entry: LogEntry) -> None:
+    def _accept_entry(self, entry: LogEntry) -> None:
         held = self.log.term_at(entry.index)
         if held == entry.term:
             return
         if held is not None:
             self.log.truncate(entry.index)
-            self._forget_from(entry.index)
+            self._discard_from(entry.index)
         self._store(entry)
 
-    def _forget_from(self, index: int) -> None:
+    def _discard_from(self, index: int) -> None:
         earliest = self.ready.truncate_from
         self.ready.truncate_from = index if earliest is None else min(index, earliest)
         self.ready.entries = [kept for kept in self.ready.entries if kept.index < index]
-        self.history = [known for known in self.history if known[0] < index]
-        self.stable = min(self.stable, index - 1)
+        self.membership_history = [known for known in self.membership_history if known[0] < index]
+        self.persisted_index = min(self.persisted_index, index - 1)
 
     def _reply_append(
         self,
@@ -213,12 +215,12 @@
 
     def _on_install(self, source: str, request: InstallRequest) -> None:
         snapshot = request.snapshot
-        if snapshot.index > self.commit:
-            self.compacted(snapshot)
-            self.commit = snapshot.index
-            self.applied = snapshot.index
+        if snapshot.index > self.commit_index:
+            self.compact_to(snapshot)
+            self.commit_index = snapshot.index
+            self.applied_index = snapshot.index
             self.ready.snapshot = snapshot
             self.ready.entries = [
                 kept for kept in self.ready.entries if kept.index > snapshot.index
             ]
-        self._reply_append(source, request, accepted=True, match=self.commit)
+        self._reply_append(source, request, accepted=True, match=self.commit_index)
--- a/ringseam/control/raftstate.py
+++ b/ringseam/control/raftstate.py
@@ -22,8 +22,8 @@
     from collections.abc import Iterable
 
 #: A replica that has just started, or was not elected, asks for votes after this
-#: share of the usual time: asking first (pre-vote) disturbs no leader.
-FIRST_ELECTION = 0.4
+#: fraction of the usual time: asking first (pre-vote) disturbs no leader.
+EARLY_ELECTION_FRACTION = 0.4
 
 
 class RaftRole(enum.Enum):
@@ -41,10 +41,10 @@
 
     next_index: int
     match: int = 0
-    heard: float = 0
+    last_contact: float = 0
     read_round: int = 0
     sent_at: float = float('-inf')
-    snapshot_due: float = float('-inf')
+    snapshot_resend_at: float = float('-inf')
     probing: bool = True
 
 
@@ -52,7 +52,7 @@
 class Ready:
     """What must be done now, in this order: save, send, apply."""
 
-    hard: HardState | None = None
+    hard_state: HardState | None = None
     truncate_from: int | None = None
     entries: list[LogEntry] = field(default_factory=list)
     snapshot: Snapshot | None = None
@@ -63,7 +63,7 @@
     @property
     def must_save(self) -> bool:
         """Return whether anything must be synced before sending."""
-        changed = self.hard is not None or self.truncate_from is not None
+        changed = self.hard_state is not None or self.truncate_from is not None
         return changed or bool(self.entries) or self.snapshot is not None
 
 
@@ -84,7 +84,7 @@
         *,
         disk: str,
         log: Log,
-        hard: HardState,
+        hard_state: HardState,
         election_s: float,
         heartbeat_s: float,
         seed: int,
@@ -93,56 +93,56 @@
         """Begin as a follower with what the data folder holds."""
         self.disk = disk
         self.log = log
-        self.term = hard.term
-        self.voted_for = hard.voted_for
+        self.term = hard_state.term
+        self.voted_for = hard_state.voted_for
         self.election_s = election_s
         self.heartbeat_s = heartbeat_s
         self.random = random.Random(seed)  # noqa: S311 - spreads elections only
         self.role = RaftRole.follower
         self.leader = ''
-        self.leader_heard = float('-inf')
-        self.commit = log.snapshot.index
-        self.applied = log.snapshot.index
-        self.stable = log.last_index
-        self.history = log.memberships()
+        self.leader_contact_at = float('-inf')
+        self.commit_index = log.snapshot.index
+        self.applied_index = log.snapshot.index
+        self.persisted_index = log.last_index
+        self.membership_history = log.memberships()
         self.votes: dict[str, bool] = {}
         self.progress: dict[str, Progress] = {}
         self.reads: list[PendingRead] = []
         self.read_round = 0
         self.ready = Ready()
-        self.saved_hard = hard
-        self.handing_over = ''
-        self._postpone(now, share=FIRST_ELECTION)
+        self.saved_hard_state = hard_state
+        self.transfer_target = ''
+        self._reset_election_timer(now, fraction=EARLY_ELECTION_FRACTION)
 
     @property
     def membership(self) -> Membership:
         """Return the latest membership in the log, committed or not."""
-        return self.history[-1][1]
+        return self.membership_history[-1][1]
 
     @property
     def is_leader(self) -> bool:
         """Return whether this replica leads."""
         return self.role is RaftRole.leader
 
-    def compacted(self, snapshot: Snapshot) -> None:
+    def compact_to(self, snapshot: Snapshot) -> None:
         """Hear that entries up to the snapshot's index were replaced by it."""
         self.log.compact(snapshot)
-        self.history = self.log.memberships()
+        self.membership_history = self.log.memberships()
 
     def _is_voter(self) -> bool:
         return self.disk in self.membership.voters
 
-    def _peers(self) -> Iterable[str]:
+    def _voting_peers(self) -> Iterable[str]:
         return (disk for disk in self.membership.voters if disk != self.disk)
 
     def _send(self, target: str, message: RaftMessage) -> None:
         self.ready.messages.append((target, message))
 
-    def _postpone(self, now: float, *, share: float = 1) -> None:
-        self.election_due = now + share * self.election_s * (1 + self.random.random())
+    def _reset_election_timer(self, now: float, *, fraction: float = 1) -> None:
+        self.election_deadline = now + fraction * self.election_s * (1 + self.random.random())
 
     def _store(self, entry: LogEntry) -> None:
         self.log.append(entry)
         self.ready.entries.append(entry)
         if entry.kind is EntryKind.membership:
-            self.history.append((entry.index, decode_membership(entry.payload)))
+            self.membership_history.append((entry.index, decode_membership(entry.payload)))
--- a/ringseam/control/replica.py
+++ b/ringseam/control/replica.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from ringseam.control.membership import Repair
+from ringseam.control.membership import MembershipRepair
 from ringseam.control.raft import Raft, Ready
 from ringseam.control.raftlog import (
     EntryKind,
@@ -19,23 +19,23 @@
     payload_bytes,
 )
 from ringseam.control.replicamessages import (
-    BlankSeen,
     Deliver,
     FindApply,
     FormGroup,
     GetReplicaStatus,
-    HandOver,
     Leadership,
-    Linearizable,
+    NonMemberSeen,
     NotLeading,
-    Outlets,
     PendingCommand,
+    PendingRequests,
     Propose,
     ReadBarrier,
+    ReadConfirmed,
+    ReplicaCallbacks,
     ReplicaSettings,
     ReplicaStatus,
-    TimePassed,
-    Waiting,
+    Tick,
+    TransferLeadership,
 )
 from ringseam.control.state import StateMachine, encode_command
 from ringseam.control.storage import Identity, Storage
@@ -61,28 +61,28 @@
         node: Node,
         storage: Storage,
         settings: ReplicaSettings,
-        outlets: Outlets,
+        callbacks: ReplicaCallbacks,
         seed: int,
     ) -> None:
         """Load the folder and begin as a follower."""
         self.node = node
         self.storage = storage
         self.settings = settings
-        self.outlets = outlets
+        self.callbacks = callbacks
         loaded = storage.load()
-        if loaded.tail_cut_bytes:
-            node.events.emit(logger, Event.log_tail_cut, cut_bytes=loaded.tail_cut_bytes)
+        if loaded.truncated_bytes:
+            node.events.emit(logger, Event.log_tail_cut, cut_bytes=loaded.truncated_bytes)
         self.identity = loaded.identity
         node.group = loaded.identity.group
         self.seed = seed
-        self.raft = self._new_raft(loaded.log, loaded.hard)
-        self.machine = StateMachine(snapshot=loaded.log.snapshot.state)
-        self.waiting = Waiting()
-        self.repair = Repair(wanted_voters=settings.wanted_voters)
-        self.addresses: dict[str, str] = {}
+        self.raft = self._new_raft(loaded.log, loaded.hard_state)
+        self.state_machine = StateMachine(snapshot=loaded.log.snapshot.state)
+        self.pending = PendingRequests()
+        self.repair = MembershipRepair(target_voters=settings.target_voters)
+        self.learned_addresses: dict[str, str] = {}
         self.was_leader = False
         self.leadership = Leadership()
-        self.outlets.files_changed(self.machine)
+        self.callbacks.state_changed(self.state_machine)
 
     def receive(self, body: Any, reply_to: ReplyTo | None = None) -> None:
         """Take in one message; ``flush`` must follow."""
@@ -90,13 +90,13 @@
 
     # -- messages -----------------------------------------------------------
 
-    def propose(self, ask: Propose, reply_to: ReplyTo) -> None:
+    def propose(self, request: Propose, reply_to: ReplyTo) -> None:
         """Append a command to the log."""
-        index = self.raft.propose(encode_command(ask.command))
+        index = self.raft.propose(encode_command(request.command))
         if index is None:
             reply_to.send(self._not_leading())
         else:
-            self.waiting.commands[index] = PendingCommand(
+            self.pending.commands[index] = PendingCommand(
                 term=self.raft.term,
                 reply_to=reply_to,
             )
@@ -110,12 +110,12 @@
             self._join(packet.group)
         if packet.group != self.identity.group:
             return
-        self.addresses[packet.source] = deliver.address
+        self.learned_addresses[packet.source] = deliver.address
         now = self.node.clock.now()
         for message in packet.messages:
             self.raft.step(packet.source, message, now)
 
-    def pass_time(self, tick: TimePassed, reply_to: ReplyTo | None) -> None:
+    def tick(self, tick: Tick, reply_to: ReplyTo | None) -> None:
         """Tick Raft and repair the membership."""
         if not self.identity.group:
             return
@@ -130,29 +130,31 @@
         """Found the group: its first snapshot names the members."""
         if self.identity.group:
             return
-        self._found(Membership(form.members))
+        self._create_group(Membership(form.members))
 
-    def see_blank(self, seen: BlankSeen, reply_to: ReplyTo | None) -> None:
+    def record_non_member(self, seen: NonMemberSeen, reply_to: ReplyTo | None) -> None:
         """Remember a blank folder at an address, for repair."""
-        self.repair.see(seen.disk, seen.address, self.node.clock.now())
+        self.repair.record(seen.disk, seen.address, self.node.clock.now())
 
-    def read_barrier(self, ask: ReadBarrier, reply_to: ReplyTo) -> None:
+    def read_barrier(self, request: ReadBarrier, reply_to: ReplyTo) -> None:
         """Begin a linearizable read."""
-        self.waiting.next_read += 1
-        if self.raft.read(self.waiting.next_read):
-            self.waiting.reads[self.waiting.next_read] = reply_to
+        self.pending.next_read += 1
+        if self.raft.read(self.pending.next_read):
+            self.pending.reads[self.pending.next_read] = reply_to
         else:
             reply_to.send(self._not_leading())
 
-    def hand_over(self, ask: HandOver, reply_to: ReplyTo) -> None:
+    def transfer_leadership(self, request: TransferLeadership, reply_to: ReplyTo) -> None:
         """Begin to give leadership away."""
-        reply_to.send(self.raft.hand_over(self.node.clock.now()))
+        reply_to.send(self.raft.transfer_leadership(self.node.clock.now()))
 
-    def find_apply(self, ask: FindApply, reply_to: ReplyTo) -> None:
+    def find_apply(self, request: FindApply, reply_to: ReplyTo) -> None:
         """Tell whether an apply was accepted before."""
-        reply_to.send(self.machine.was_accepted(ask.part, ask.expect, ask.apply_id))
+        reply_to.send(
+            self.state_machine.was_accepted(request.part, request.expect, request.apply_id)
+        )
 
-    def status(self, ask: GetReplicaStatus, reply_to: ReplyTo) -> None:
+    def status(self, request: GetReplicaStatus, reply_to: ReplyTo) -> None:
         """Tell how this replica stands."""
         reply_to.send(
             ReplicaStatus(
@@ -161,9 +163,9 @@
                 role=self.raft.role.value,
                 term=self.raft.term,
                 leader=self._leader_address(),
-                commit=self.raft.commit,
+                commit=self.raft.commit_index,
                 members=self.raft.membership.members,
-                keys=len(self.machine.ledger.state.runs),
+                keys=len(self.state_machine.ledger.state.runs),
             ),
         )
 
@@ -180,23 +182,23 @@
             self._send(ready.messages)
             self._apply(ready.committed)
             for token in ready.reads:
-                self.waiting.reads.pop(token).send(Linearizable(term=self.raft.term))
+                self.pending.reads.pop(token).send(ReadConfirmed(term=self.raft.term))
             if not (ready.must_save or ready.committed):
                 break
-        self._note_leadership()
+        self._update_leadership()
         self._compact()
-        self.outlets.log_changed(self.raft.log.held_bytes)
+        self.callbacks.log_changed(self.raft.log.total_bytes)
 
     def _save(self, ready: Ready) -> None:
         if ready.snapshot is None:
             self.storage.save(
-                hard=ready.hard,
+                hard_state=ready.hard_state,
                 truncate_from=ready.truncate_from,
                 entries=ready.entries,
             )
         else:
             self._install(ready.snapshot)
-        self.raft.persisted()
+        self.raft.mark_persisted()
 
     def _install(self, snapshot: Snapshot) -> None:
         self.storage.save_snapshot(
@@ -204,8 +206,8 @@
             HardState(self.raft.term, self.raft.voted_for),
             self.raft.log.entries,
         )
-        self.machine.restore(snapshot.state)
-        self.outlets.files_changed(self.machine)
+        self.state_machine.restore(snapshot.state)
+        self.callbacks.state_changed(self.state_machine)
         self.node.events.emit(
             logger,
             Event.snapshot_installed,
@@ -234,35 +236,35 @@
                 target=target,
                 messages=tuple(batch),
             )
-            self.outlets.send(address, packet)
+            self.callbacks.send(address, packet)
 
     def _apply(self, committed: list[LogEntry]) -> None:
-        version = self.machine.version
+        watched_version = self.state_machine.watched_version
         for entry in committed:
             outcome: Any = self._not_leading()
             if entry.kind is EntryKind.command:
-                outcome = self.machine.apply(entry.payload)
-            pending = self.waiting.commands.pop(entry.index, None)
+                outcome = self.state_machine.apply(entry.payload)
+            pending = self.pending.commands.pop(entry.index, None)
             if pending is not None:
                 same = pending.term == entry.term
                 pending.reply_to.send(outcome if same else self._not_leading())
-        if self.machine.version != version:
-            self.outlets.files_changed(self.machine)
+        if self.state_machine.watched_version != watched_version:
+            self.callbacks.state_changed(self.state_machine)
 
     def _compact(self) -> None:
         if not self._is_compaction_due():
             return
         log = self.raft.log
-        log_bytes = log.held_bytes
-        index = self.raft.applied
-        membership = [known for at, known in self.raft.history if at <= index][-1]
+        log_bytes = log.total_bytes
+        index = self.raft.applied_index
+        membership = [known for at, known in self.raft.membership_history if at <= index][-1]
         snapshot = Snapshot(
             index=index,
             term=log.term_at(index) or 0,
             membership=membership,
-            state=self.machine.snapshot(),
+            state=self.state_machine.snapshot(),
         )
-        self.raft.compacted(snapshot)
+        self.raft.compact_to(snapshot)
         self.storage.save_snapshot(
             snapshot,
             HardState(self.raft.term, self.raft.voted_for),
@@ -285,32 +287,32 @@
         """
         log = self.raft.log
         first = log.snapshot.index + 1
-        if self.raft.applied - log.snapshot.index >= self.settings.snapshot_entries:
+        if self.raft.applied_index - log.snapshot.index >= self.settings.snapshot_entries:
             return True
-        most_bytes = max(self.settings.snapshot_bytes, len(log.snapshot.state))
-        return log.bytes_between(first, self.raft.applied) >= most_bytes
+        max_bytes = max(self.settings.snapshot_bytes, len(log.snapshot.state))
+        return log.bytes_between(first, self.raft.applied_index) >= max_bytes
 
     # -- helpers ------------------------------------------------------------
 
-    def _new_raft(self, log: Log, hard: HardState) -> Raft:
+    def _new_raft(self, log: Log, hard_state: HardState) -> Raft:
         return Raft(
             disk=self.identity.disk,
             log=log,
-            hard=hard,
+            hard_state=hard_state,
             election_s=self.settings.election_s,
             heartbeat_s=self.settings.heartbeat_s,
             seed=self.seed,
             now=self.node.clock.now(),
         )
 
-    def _found(self, membership: Membership) -> None:
+    def _create_group(self, membership: Membership) -> None:
         group = f'g-{self.identity.disk}'
         snapshot = Snapshot(index=1, term=1, membership=membership)
-        hard = HardState(1, '')
+        hard_state = HardState(1, '')
         # The snapshot is synced before the identity names the group.
-        self.storage.save_snapshot(snapshot, hard, [])
+        self.storage.save_snapshot(snapshot, hard_state, [])
         self._join(group)
-        self.raft = self._new_raft(Log(snapshot=snapshot, entries=[]), hard)
+        self.raft = self._new_raft(Log(snapshot=snapshot, entries=[]), hard_state)
         self.node.events.emit(
             logger,
             Event.group_formed,
@@ -326,37 +328,37 @@
             raise StorageError(str(error)) from error
         self.node.group = group
 
-    def _tell_leadership(self) -> None:
+    def _publish_leadership(self) -> None:
         membership = self.raft.membership
         leadership = Leadership(
             term=self.raft.term,
             leader=self._leader_address(),
-            serves=self.raft.can_serve,
+            can_serve=self.raft.can_serve,
             voters=len(membership.voters),
             members=tuple(member.address for member in membership.members),
             is_member=membership.find(self.identity.disk) is not None,
         )
         if leadership != self.leadership:
             self.leadership = leadership
-            self.outlets.leadership_changed(leadership)
+            self.callbacks.leadership_changed(leadership)
 
-    def _note_leadership(self) -> None:
-        self._tell_leadership()
+    def _update_leadership(self) -> None:
+        self._publish_leadership()
         if self.raft.is_leader == self.was_leader:
             return
         self.was_leader = self.raft.is_leader
         event = Event.became_leader if self.was_leader else Event.became_follower
         self.node.events.emit(logger, event, term=self.raft.term)
         if not self.was_leader:
-            self._refuse_waiting()
+            self._reject_pending()
 
-    def _refuse_waiting(self) -> None:
-        for pending in self.waiting.commands.values():
+    def _reject_pending(self) -> None:
+        for pending in self.pending.commands.values():
             pending.reply_to.send(self._not_leading())
-        for reply_to in self.waiting.reads.values():
+        for reply_to in self.pending.reads.values():
             reply_to.send(self._not_leading())
-        self.waiting.commands.clear()
-        self.waiting.reads.clear()
+        self.pending.commands.clear()
+        self.pending.reads.clear()
 
     def _not_leading(self) -> NotLeading:
         leader = '' if self.raft.is_leader else self._leader_address()
@@ -369,7 +371,7 @@
         member = self.raft.membership.find(disk)
         if member is None:
             # A replica that has just joined doesn't hold the membership yet.
-            return self.addresses.get(disk, '')
+            return self.learned_addresses.get(disk, '')
         return member.address
 
     def _log_members(self, membership: Membership) -> None:
@@ -386,11 +388,11 @@
 _HANDLERS = {  # noqa: WPS407 - one per message type
     Propose: Replica.propose,
     Deliver: Replica.deliver,
-    TimePassed: Replica.pass_time,
+    Tick: Replica.tick,
     FormGroup: Replica.form_group,
-    BlankSeen: Replica.see_blank,
+    NonMemberSeen: Replica.record_non_member,
     ReadBarrier: Replica.read_barrier,
-    HandOver: Replica.hand_over,
+    TransferLeadership: Replica.transfer_leadership,
     FindApply: Replica.find_apply,
     GetReplicaStatus: Replica.status,
 }
--- a/ringseam/control/replicaactor.py
+++ b/ringseam/control/replicaactor.py
@@ -44,7 +44,7 @@
                 replica.flush()
         except StorageError as error:
             replica.node.events.emit(logger, Event.storage_failed, detail=str(error))
-            replica.outlets.failed(str(error))
+            replica.callbacks.failed(str(error))
             self.stop()
 
     def on_stop(self) -> None:
@@ -53,4 +53,4 @@
 
     def on_failure(self, *failure: Any) -> None:
         """Tell the process: a replica without its actor must not live on."""
-        self.replica.outlets.failed(f'replica broke: {failure[1]!r}')
+        self.replica.callbacks.failed(f'replica broke: {failure[1]!r}')
--- a/ringseam/control/replicamessages.py
+++ b/ringseam/control/replicamessages.py
@@ -25,7 +25,7 @@
     snapshot_bytes: int = 8 * 2**20
     group_commit: bool = True
     #: How many voters the group grows to; 0 stands for no limit.
-    wanted_voters: int = 0
+    target_voters: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class TimePassed:
+class Tick:
     """The timer of the event loop fired."""
 
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BlankSeen:
+class NonMemberSeen:
     """A blank folder was seen at a configured address."""
 
     disk: str
@@ -72,18 +72,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadBarrier:
-    """Reply ``Linearizable`` once a read here is so, or ``NotLeading``."""
+    """Reply ``ReadConfirmed`` once a read here is so, or ``NotLeading``."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Linearizable:
+class ReadConfirmed:
     """A quorum confirmed this replica as the leader of ``term``."""
 
     term: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class HandOver:
+class TransferLeadership:
     """Give leadership away; the reply says whether it was tried."""
 
 
@@ -117,11 +117,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Leadership:
-    """Who leads, as this replica knows; ``serves`` when it does so itself."""
+    """Who leads, as this replica knows; ``can_serve`` when it does so itself."""
 
     term: int = 0
     leader: str = ''
-    serves: bool = False
+    can_serve: bool = False
     voters: int = 0
     members: tuple[str, ...] = ()
     #: Whether this replica's folder belongs to the membership it knows.
@@ -129,15 +129,15 @@
 
 
 @dataclass(kw_only=True)
-class Outlets:
+class ReplicaCallbacks:
     """Where the actor's effects go; each is called on the actor's thread."""
 
     send: Callable[[str, Packet], None]
-    files_changed: Callable[[StateMachine], None]
+    state_changed: Callable[[StateMachine], None]
     failed: Callable[[str], None]
     leadership_changed: Callable[[Leadership], None] = lambda leadership: None
     #: Told the payload bytes of the log after each flush.
-    log_changed: Callable[[int], None] = lambda held_bytes: None
+    log_changed: Callable[[int], None] = lambda total_bytes: None
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -149,7 +149,7 @@
 
 
 @dataclass(kw_only=True)
-class Waiting:
+class PendingRequests:
     """Askers whose answer needs the quorum."""
 
     commands: dict[int, PendingCommand] = field(default_factory=dict)
--- a/ringseam/control/role.py
+++ b/ringseam/control/role.py
@@ -12,26 +12,26 @@
 from ringseam.control.directory import Directory
 from ringseam.control.diskwait import DiskWait
 from ringseam.control.follow import FollowService, HeldDocument
-from ringseam.control.founding import Introduction, wanted_voters
+from ringseam.control.founding import GroupDiscovery, target_voters
 from ringseam.control.openinterface import OpenInterface
 from ringseam.control.peerlinks import PeerLinks
 from ringseam.control.peermessages import HELLO, PACKETS, HelloReply
 from ringseam.control.replica import Replica
 from ringseam.control.replicaactor import ReplicaActor
 from ringseam.control.replicamessages import (
-    BlankSeen,
     Deliver,
     FindApply,
     GetReplicaStatus,
-    HandOver,
     Leadership,
+    NonMemberSeen,
     NotLeading,
-    Outlets,
     Propose,
     ReadBarrier,
+    ReplicaCallbacks,
     ReplicaSettings,
     ReplicaStatus,
-    TimePassed,
+    Tick,
+    TransferLeadership,
 )
 from ringseam.controlclient import ControlClient
 from ringseam.deltas import DeltaReply
@@ -97,7 +97,7 @@
         self.holder = ConfigHolder(node=self.node, client=self.client)
         self.directory = Directory(
             epoch=self.node.incarnation,
-            lost_s=settings.seconds('agent_lost_ms'),
+            expiry_s=settings.seconds('agent_lost_ms'),
             started=self.node.clock.now(),
         )
         self.metrics = Metrics()
@@ -115,7 +115,7 @@
             node=self.node,
             submit=self._commit,
             confirm=lambda: self._ask_quorum(ReadBarrier()),
-            voters_needed=wanted_voters(settings.own),
+            voters_needed=target_voters(settings.own),
             report_s=settings.seconds('backend_report_ms'),
         )
         self.shares: ShareBook | None = None
@@ -134,7 +134,7 @@
             loop.call_soon_threadsafe(self.links.send, address, packet)
 
         def changed(machine: StateMachine) -> None:  # noqa: WPS430
-            files = tuple(machine.files())
+            files = tuple(machine.accepted_files())
             revision = machine.state.revision
             loop.call_soon_threadsafe(self._take, revision, files)
             document = HeldDocument(
@@ -162,11 +162,11 @@
                 snapshot_entries=own['snapshot_entries'],
                 snapshot_bytes=own['snapshot_bytes'],
                 group_commit=own['group_commit'],
-                wanted_voters=wanted_voters(own),
+                target_voters=target_voters(own),
             ),
-            outlets=Outlets(
+            callbacks=ReplicaCallbacks(
                 send=send,
-                files_changed=changed,
+                state_changed=changed,
                 failed=failed,
                 leadership_changed=led,
                 log_changed=lambda held: self.metrics.put('log_bytes', held),
@@ -174,7 +174,7 @@
             seed=zlib.crc32(self.node.incarnation.encode()),
         )
         self.actor = ReplicaActor.start(replica=replica)
-        self.introduction = Introduction(
+        self.discovery = GroupDiscovery(
             node=self.node,
             client=self.client,
             actor=self.actor,
@@ -182,14 +182,14 @@
         )
         self.stack.callback(self.actor.stop)
         self.spawn(self._tick_always())
-        self.spawn(self.introduction.run())
+        self.spawn(self.discovery.run())
         if own['http']:
             await self._open_follow()
 
     def reload(self, settings: Settings) -> None:
         """Take over other seeds."""
         super().reload(settings)
-        self.introduction.add_seeds(settings)
+        self.discovery.add_seeds(settings)
 
     async def drain(self) -> None:
         """Hand leadership over before leaving."""
@@ -199,7 +199,7 @@
             status: ReplicaStatus = await ask(self.actor, GetReplicaStatus())
             if status.leader != self.node.address:
                 return
-            if not await ask(self.actor, HandOver()):
+            if not await ask(self.actor, TransferLeadership()):
                 return
             await asyncio.sleep(self.settings.seconds('heartbeat_ms'))
 
@@ -213,7 +213,7 @@
         """Introduce this folder and remember a blank one."""
         greeting: HelloRequest = received.body
         if self._may_join(greeting):
-            self.actor.tell(BlankSeen(disk=greeting.disk, address=greeting.address))
+            self.actor.tell(NonMemberSeen(disk=greeting.disk, address=greeting.address))
         status: ReplicaStatus = await ask(self.actor, GetReplicaStatus())
         return HelloReply(
             disk=status.disk,
@@ -244,7 +244,7 @@
     async def delta(self, received: Received) -> DeltaReply:
         """Return directory changes to an entry."""
         request = received.body
-        self.directory.note_process(request.process, self.node.clock.now())
+        self.directory.record_process(request.process, self.node.clock.now())
         return self.directory.delta(
             request.epoch,
             request.since,
@@ -279,7 +279,7 @@
                 for member in status.members
             ),
             processes=tuple(process for _, process in self.directory.processes.values()),
-            agents=tuple(row.state for row in self.directory.rows.values()),
+            agents=tuple(row.state for row in self.directory.entries.values()),
             commit=status.commit,
             keys=status.keys,
         )
@@ -323,7 +323,7 @@
             node=self.node,
             follow=self.follow,
             leader=leader,
-            addresses=self.introduction.addresses,
+            addresses=self.discovery.peer_addresses,
             metrics=self.metrics,
             document_bytes=document_bytes,
             zones=frozenset(self.settings.process['zones']),
@@ -351,7 +351,7 @@
         interval = self.settings.seconds('heartbeat_ms') / 2
         expiry = self.node.clock.now()
         while True:  # noqa: WPS457 - ends with the role
-            self.actor.tell(TimePassed())
+            self.actor.tell(Tick())
             now = self.node.clock.now()
             if now >= expiry:
                 expiry = now + _EXPIRE_S
--- a/ringseam/control/zonedraining.py
+++ b/ringseam/control/zonedraining.py
@@ -51,7 +51,7 @@
         other order came in between.
         """
         follow = self.follow
-        if not follow.leadership.serves:
+        if not follow.leadership.can_serve:
             return follow.redirect
         if not follow.bears_losses:
             return NotYet()
@@ -73,7 +73,7 @@
     async def read(self) -> DrainedZones | Redirect:
         """Return the drained zones, after a quorum has confirmed the leader."""
         follow = self.follow
-        if not follow.leadership.serves or isinstance(await follow.confirm(), NotLeading):
+        if not follow.leadership.can_serve or isinstance(await follow.confirm(), NotLeading):
             return follow.redirect
         # What the actor applied before the barrier is on its way to this loop.
         await asyncio.sleep(0)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -12,15 +12,15 @@
     Replica,
 )
 from ringseam.control.replicamessages import (
-    BlankSeen,
     Deliver,
     FormGroup,
+    NonMemberSeen,
     NotLeading,
-    Outlets,
     Propose,
     ReadBarrier,
+    ReplicaCallbacks,
     ReplicaSettings,
-    TimePassed,
+    Tick,
 )
 from ringseam.control.storage import Files, Storage
 from ringseam.node import Node
@@ -104,14 +104,14 @@
 class Network:
     """Replicas over a network that delays, drops and cuts; seeded."""
 
-    def __init__(self, count=3, seed=1, snapshot_entries=20, founders=0, wanted_voters=0):
+    def __init__(self, count=3, seed=1, snapshot_entries=20, founders=0, target_voters=0):
         self.random = random.Random(seed)
         self.clock = PausedClock()
         self.settings = ReplicaSettings(
             election_s=0.6,
             heartbeat_s=0.1,
             snapshot_entries=snapshot_entries,
-            wanted_voters=wanted_voters,
+            target_voters=target_voters,
         )
         self.hosts = {f'10.0.0.{number}:1': None for number in range(1, count + 1)}
         self.hosts = {address: Host(address=address) for address in self.hosts}
@@ -137,7 +137,7 @@
             node=node,
             storage=Storage(files=host.files),
             settings=self.settings,
-            outlets=Outlets(send=send, files_changed=lambda machine: None, failed=print),
+            callbacks=ReplicaCallbacks(send=send, state_changed=lambda machine: None, failed=print),
             seed=self.random.randrange(2**30),
         )
 
@@ -177,9 +177,9 @@
 
     def step(self):
         self.clock.advance(STEP_S)
-        self._introduce()
+        self._exchange_hellos()
         for replica in self.running():
-            replica.receive(TimePassed())
+            replica.receive(Tick())
             replica.flush()
         packets, self.packets = self.packets, []
         self.random.shuffle(packets)
@@ -200,7 +200,7 @@
             self.step()
         raise AssertionError('the condition did not come')
 
-    def _introduce(self):
+    def _exchange_hellos(self):
         """Do what blank hosts do: introduce themselves; maybe found a group."""
         for address, host in self.hosts.items():
             if host.replica is None or _is_member(host.replica):
@@ -213,7 +213,7 @@
             ]
             disk = host.replica.identity.disk
             for peer in reached:
-                peer.replica.receive(BlankSeen(disk=disk, address=address))
+                peer.replica.receive(NonMemberSeen(disk=disk, address=address))
             blank = {peer.address for peer in [host, *reached] if not peer.replica.identity.group}
             if blank >= set(self.founders) and address == min(self.founders):
                 members = [
@@ -272,7 +272,11 @@
         """Return the revision at a linearizable read."""
         reply = self.ask(self.await_leader(), ReadBarrier())
         self.run_until(lambda: reply.sent is not None)
-        return None if isinstance(reply.sent, NotLeading) else self.leader().machine.state.revision
+        return (
+            None
+            if isinstance(reply.sent, NotLeading)
+            else self.leader().state_machine.state.revision
+        )
 
 
 def _is_member(replica):
--- a/tests/test_control/test_control_diskwait.py
+++ b/tests/test_control/test_control_diskwait.py
@@ -28,16 +28,16 @@
 
 
 @pytest.fixture
-def told():
+def logged():
     return []
 
 
 @pytest.fixture
-def wait_for(told, monkeypatch, tmp_path):
+def wait_for(logged, monkeypatch, tmp_path):
     """Return a wait for files that notes the events it logs."""
     monkeypatch.setattr(diskwait, 'DISK_RETRY_S', 0)
     node = Node(name='c1', role='control', address='c1', secret=b'x')
-    node.events.emit = lambda logger, event, **fields: told.append(event.name)
+    node.events.emit = lambda logger, event, **fields: logged.append(event.name)
 
     def make(files):
         wait = DiskWait(node=node, folder=str(tmp_path))
@@ -50,23 +50,23 @@
 def test_probe_leaves_nothing_behind():
     files = MemoryFiles()
     storage = Storage(files=files)
-    assert storage.takes_bytes()
+    assert storage.is_writable()
     files.full = True
-    assert not storage.takes_bytes()
+    assert not storage.is_writable()
     files.full = False
-    assert storage.takes_bytes()
+    assert storage.is_writable()
     assert files.names() == []
 
 
-def test_start_waits_until_the_disk_takes_bytes(wait_for, told):
+def test_start_waits_until_the_disk_takes_bytes(wait_for, logged):
     """Seen on a played day: 14 starts that each ended with storage_failed."""
     asyncio.run(wait_for(DiskWithRoomLater(3)).wait(lambda: False))
-    assert told == ['storage_waited_for', 'storage_regained']
+    assert logged == ['storage_waited_for', 'storage_regained']
 
 
-def test_start_on_a_sound_disk_says_nothing(wait_for, told):
+def test_start_on_a_sound_disk_says_nothing(wait_for, logged):
     asyncio.run(wait_for(MemoryFiles()).wait(lambda: False))
-    assert told == []
+    assert logged == []
 
 
 def test_stop_ends_the_wait(wait_for):
--- a/tests/test_control/test_control_follow.py
+++ b/tests/test_control/test_control_follow.py
@@ -18,8 +18,8 @@
 from ringseam.control.follow import FollowService, HeldDocument
 from ringseam.control.replicamessages import (
     Leadership,
-    Linearizable,
     NotLeading,
+    ReadConfirmed,
 )
 from ringseam.errors import UnreachableError
 from ringseam.following import (
@@ -40,7 +40,7 @@
 from ringseam.sealing import Received
 
 GATEWAY = GatewayState(name='g1', address='1.1.1.1:1', zone='a')
-LEADS = Leadership(term=3, leader='c1', serves=True, voters=5, members=('c1', 'c2'))
+LEADS = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
 
 
 def report(name='i-1', sequence=1, state=BackendState.ready):
@@ -139,7 +139,7 @@
         return BackendRetired(instance=command.instance)
 
     async def confirm(self):
-        return Linearizable(term=3) if self.commits else NotLeading()
+        return ReadConfirmed(term=3) if self.commits else NotLeading()
 
 
 def received(body):
@@ -249,7 +249,7 @@
         late = report('i-1#5', sequence=9, state=BackendState.draining)
         await bench.service.take_report(late)
         bench.service.lead(Leadership(term=4, leader='c2'))
-        bench.service.lead(Leadership(term=5, leader='c1', serves=True, voters=5))
+        bench.service.lead(Leadership(term=5, leader='c1', can_serve=True, voters=5))
         await bench.service.take_report(late)
         await bench.service.take_report(report('i-1#8', sequence=1))
         await bench.service.take_report(late)
@@ -303,7 +303,7 @@
 def test_first_document_waits_for_enough_voters():
     async def run():
         bench = Bench()
-        few = Leadership(term=3, leader='c1', serves=True, voters=4)
+        few = Leadership(term=3, leader='c1', can_serve=True, voters=4)
         bench.service.lead(few)
         submit = Submit(number=1, document=b'd')
         assert isinstance(await bench.service.documents.accept(submit), NotYet)
@@ -343,7 +343,7 @@
         bench = Bench()
         await bench.service.take_report(report(sequence=5, state=BackendState.draining))
         bench.service.lead(Leadership(term=4, leader='c2'))
-        bench.service.lead(Leadership(term=5, leader='c1', serves=True, voters=5))
+        bench.service.lead(Leadership(term=5, leader='c1', can_serve=True, voters=5))
         await bench.service.take_report(report(sequence=4))
         news = bench.service.directory.news(request(), 0)
         assert [row.state for row in news.reports] == [BackendState.draining]
--- a/tests/test_control/test_control_large_documents.py
+++ b/tests/test_control/test_control_large_documents.py
@@ -53,8 +53,8 @@
     network.run(1)
     for host in network.hosts.values():
         assert sum(map(len, host.files.written.values())) < HELD_BYTES
-        assert host.replica.raft.log.held_bytes < HELD_BYTES
-        assert host.replica.machine.state.number == CHANGES
+        assert host.replica.raft.log.total_bytes < HELD_BYTES
+        assert host.replica.state_machine.state.number == CHANGES
 
 
 def test_restart_reads_what_was_left_of_a_log_of_large_documents():
@@ -64,7 +64,7 @@
     for address in network.hosts:
         network.restart(address)
     network.run(3)
-    assert {replica.machine.state.number for replica in network.running()} == {CHANGES}
+    assert {replica.state_machine.state.number for replica in network.running()} == {CHANGES}
 
 
 @pytest.mark.parametrize('seed', range(3))
@@ -82,7 +82,7 @@
         network.step()
         sent = [packet.messages for _, target, packet in network.packets]
         largest = max([largest, *(sum(map(payload_bytes, batch)) for batch in sent)])
-    assert away.machine.state.number == 17
+    assert away.state_machine.state.number == 17
     assert largest < MESSAGE_BYTES
 
 
--- a/tests/test_control/test_control_membership.py
+++ b/tests/test_control/test_control_membership.py
@@ -13,8 +13,8 @@
 FIRST = [f'10.0.0.{number}:1' for number in range(1, 6)]
 
 
-def grown(seed=1):
-    network = Network(count=5, seed=seed, founders=3, wanted_voters=5)
+def grown_network(seed=1):
+    network = Network(count=5, seed=seed, founders=3, target_voters=5)
     network.run_until(lambda: len(voters(network)) == 5)
     return network
 
@@ -43,20 +43,20 @@
     return outcome[-1].sent
 
 
-def held(network):
-    state = network.await_leader().machine.state
+def document_in_force(network):
+    state = network.await_leader().state_machine.state
     return state.number, state.document
 
 
 @pytest.mark.parametrize('seed', range(4))
 def test_group_of_three_founders_grows_to_five(seed):
-    network = grown(seed)
+    network = grown_network(seed)
     assert voters(network) == FIRST
 
 
 @pytest.mark.parametrize('seed', range(6))
 def test_host_that_is_gone_for_good_is_replaced_at_another_address(seed):
-    network = grown(seed)
+    network = grown_network(seed)
     put(network, 1)
     gone = FIRST[seed % 5]
     network.crash(gone)
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_two_disks_lost_right_after_a_repair(seed):
-    network = grown(seed)
+    network = grown_network(seed)
     network.crash(FIRST[4])
     network.hosts.pop(FIRST[4])
     network.add('10.0.0.9:1')
@@ -86,13 +86,13 @@
             network.lose_disk(address)
         else:
             network.start(address)
-    assert held(network) == (5, b'kept')
+    assert document_in_force(network) == (5, b'kept')
     network.run_until(lambda: len(voters(network)) == 5)
 
 
 @pytest.mark.parametrize('seed', range(4))
 def test_voter_that_was_replaced_comes_back_as_a_learner(seed):
-    network = grown(seed)
+    network = grown_network(seed)
     network.add('10.0.0.9:1')
     network.run(2)
     assert '10.0.0.9:1' not in voters(network)
@@ -107,11 +107,11 @@
     assert network.leader().raft.term == term
     put(network, 3, b'later')
     network.run(2)
-    assert network.hosts[away].replica.machine.state.number == 3
+    assert network.hosts[away].replica.state_machine.state.number == 3
 
 
 def test_learner_that_is_gone_does_not_block_another():
-    network = grown()
+    network = grown_network()
     for address in ('10.0.0.8:1', '10.0.0.9:1'):
         network.add(address)
     network.run(2)
@@ -121,21 +121,21 @@
 
 
 def test_highest_number_wins_and_a_lower_one_changes_nothing():
-    network = grown()
+    network = grown_network()
     assert put(network, 4, b'four').newest == 4
     assert put(network, 3, b'three').newest == 4
     assert put(network, 4, b'other').newest == 4
-    assert held(network) == (4, b'four')
+    assert document_in_force(network) == (4, b'four')
     assert put(network, 9, b'nine').newest == 9
 
 
 def test_document_and_retired_servers_outlive_snapshots_and_restarts():
-    network = grown()
+    network = grown_network()
     for number in range(1, 60):
         put(network, number, b'%d' % number)
     network.ask(network.leader(), Propose(command=RetireBackend(instance='i-1')))
     network.run(1)
     for address in list(network.hosts):
         network.restart(address)
-    assert held(network) == (59, b'59')
-    assert 'i-1' in network.leader().machine.state.retired
+    assert document_in_force(network) == (59, b'59')
+    assert 'i-1' in network.leader().state_machine.state.retired
--- a/tests/test_control/test_control_quarantining.py
+++ b/tests/test_control/test_control_quarantining.py
@@ -11,7 +11,7 @@
 from ringseam.clock import PausedClock
 from ringseam.commands import RecordVerdict
 from ringseam.control.follow import FollowService, HeldDocument
-from ringseam.control.replicamessages import Leadership, Linearizable, NotLeading
+from ringseam.control.replicamessages import Leadership, NotLeading, ReadConfirmed
 from ringseam.control.state import StateMachine, encode_command
 from ringseam.evidence import LIFE_SHOWS_S, REPORTS_APART_S
 from ringseam.following import WatchNews, WatchRequest
@@ -33,8 +33,8 @@
 )
 
 GATEWAY = GatewayState(name='g1', address='1.1.1.1:1', zone='a')
-LEADS = Leadership(term=3, leader='c1', serves=True, voters=5, members=('c1', 'c2'))
-FOLLOWS = Leadership(term=4, leader='c2', serves=False, voters=5, members=('c1', 'c2'))
+LEADS = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
+FOLLOWS = Leadership(term=4, leader='c2', can_serve=False, voters=5, members=('c1', 'c2'))
 GUILTY = 'guilty'
 
 
@@ -74,7 +74,7 @@
 
     def __init__(self, *, commits=True, machine=None):
         self.commits = commits
-        self.machine = machine or StateMachine()
+        self.state_machine = machine or StateMachine()
         self.clock = PausedClock(start=100)
         self.service = FollowService(
             node=Node(name='c1', role='control', address='c1', secret=b'x', clock=self.clock),
@@ -93,15 +93,15 @@
     async def submit(self, command):
         if not self.commits:
             return NotLeading()
-        outcome = self.machine.apply(encode_command(command))
+        outcome = self.state_machine.apply(encode_command(command))
         self.hold()
         return outcome
 
     async def confirm(self):
-        return Linearizable(term=3)
+        return ReadConfirmed(term=3)
 
     def hold(self):
-        state = self.machine.state
+        state = self.state_machine.state
         self.service.hold(
             HeldDocument(
                 number=1,
@@ -192,7 +192,7 @@
             host.clock.advance(REPORTS_APART_S)
         await asyncio.sleep(0.01)
         assert (await host.trial()).state == TrialState.granted.value
-        assert not host.machine.state.quarantined
+        assert not host.state_machine.state.quarantined
 
     asyncio.run(run())
 
@@ -244,7 +244,7 @@
     async def run():
         host = Host()
         await host.tell('a', 'b', 'c')
-        snapshot = host.machine.snapshot()
+        snapshot = host.state_machine.snapshot()
         later = Host(machine=StateMachine(snapshot=snapshot))
         assert (await later.trial()).state == TrialState.quarantined.value
         assert list((await later.watch()).quarantine.quarantined) == [GUILTY]
@@ -279,7 +279,7 @@
         await asyncio.sleep(0.01)
         assert isinstance(reply.reply, Heard)
         assert (await host.trial()).state == TrialState.granted.value
-        assert not host.machine.state.quarantined
+        assert not host.state_machine.state.quarantined
 
     asyncio.run(run())
 
--- a/tests/test_control/test_control_raftlog.py
+++ b/tests/test_control/test_control_raftlog.py
@@ -37,7 +37,7 @@
     log = Log(snapshot=Snapshot(), entries=entries)
     for step, number in taken:
         take(log, step, number)
-        assert log.held_bytes == sum(len(entry.payload) for entry in log.entries)
+        assert log.total_bytes == sum(len(entry.payload) for entry in log.entries)
         middle = (log.snapshot.index + log.last_index) // 2
         assert log.bytes_between(middle + 1, log.last_index) == sum(
             len(entry.payload) for entry in log.between(middle + 1, log.last_index)
--- a/tests/test_control/test_control_replica.py
+++ b/tests/test_control/test_control_replica.py
@@ -6,10 +6,10 @@
 
 from ringseam.commands import ApplyFile, FileAccepted, FileConflict
 from ringseam.control.replicamessages import (
-    Linearizable,
     NotLeading,
     Propose,
     ReadBarrier,
+    ReadConfirmed,
 )
 from ringseam.errors import DamagedLogError, StorageError
 from tests.fakes import Network
@@ -85,7 +85,7 @@
     network.run(5)
     assert network.await_leader() is leader
     assert leader.raft.term == term
-    assert cut.machine.state.revision == 62
+    assert cut.state_machine.state.revision == 62
     assert cut.raft.log.snapshot.index > 20
 
 
@@ -103,7 +103,7 @@
     assert network.apply(2, text='by the others').revision == 3
     network.cuts.clear()
     network.run(3)
-    assert old.machine.state.revision == 3
+    assert old.state_machine.state.revision == 3
 
 
 @pytest.mark.parametrize('outward', [True, False])
@@ -130,8 +130,8 @@
     host.replica = frozen
     read = network.ask(frozen, ReadBarrier())
     network.run(3)
-    assert not isinstance(read.sent, Linearizable)
-    assert frozen.machine.state.revision == 2
+    assert not isinstance(read.sent, ReadConfirmed)
+    assert frozen.state_machine.state.revision == 2
 
 
 @pytest.mark.parametrize('seed', SEEDS)
@@ -196,13 +196,13 @@
         outcome = network.apply(acknowledged, text=f'{acknowledged}')
         assert outcome.revision >= acknowledged
         acknowledged = outcome.revision
-        revisions = [replica.machine.state.revision for replica in network.running()]
+        revisions = [replica.state_machine.state.revision for replica in network.running()]
         assert max(revisions) == acknowledged
     network.cuts.clear()
     network.drop = 0
     network.run(10)
     assert network.read_revision() == acknowledged
-    texts = {replica.machine.snapshot() for replica in network.running()}
+    texts = {replica.state_machine.snapshot() for replica in network.running()}
     assert len(texts) == 1
 
 
@@ -217,7 +217,7 @@
         network.ask(replica, Propose(command=command))
     host.files.fail_sync = False
     with pytest.raises(StorageError):
-        replica.storage.save(hard=None, truncate_from=None, entries=[])
+        replica.storage.save(hard_state=None, truncate_from=None, entries=[])
     network.restart('10.0.0.1:1')
     assert network.read_revision() == 1
 
--- a/tests/test_control/test_control_storage.py
+++ b/tests/test_control/test_control_storage.py
@@ -22,7 +22,7 @@
 
 
 def framed(record):
-    return storage._framed(msgspec.msgpack.encode(record))
+    return storage._frame_record(msgspec.msgpack.encode(record))
 
 
 @given(st.lists(records, min_size=1, max_size=6), st.data())
@@ -30,13 +30,13 @@
     raw = bytearray(b''.join(map(framed, written)))
     raw[data.draw(st.integers(0, len(raw) - 1))] ^= 0x41
     del raw[data.draw(st.integers(1, len(raw))) :]
-    _, bad = storage._split(bytes(raw))
+    _, bad = storage._split_records(bytes(raw))
     if bad is not None:
         naive = any(
-            storage._record_at(bytes(raw), offset) is not None
+            storage._payload_at(bytes(raw), offset) is not None
             for offset in range(bad + 1, len(raw))
         )
-        assert storage._has_record_after(bytes(raw), bad) is naive
+        assert storage._has_valid_record_after(bytes(raw), bad) is naive
 
 
 def test_torn_document_delays_a_start_by_little(monkeypatch):
@@ -44,7 +44,7 @@
     what a length names takes up to 0.1 ms, and 200,000 of them took 20 s."""
     torn = framed(EntryRecord(LogEntry(1, 1, EntryKind.command, b'\x00\x08\x00\x00' * 200_000)))
     looks = []
-    look = storage._record_at
-    monkeypatch.setattr(storage, '_record_at', lambda *where: looks.append(1) or look(*where))
-    assert not storage._has_record_after(torn[:-1000], 0)
+    look = storage._payload_at
+    monkeypatch.setattr(storage, '_payload_at', lambda *where: looks.append(1) or look(*where))
+    assert not storage._has_valid_record_after(torn[:-1000], 0)
     assert len(looks) < 10
--- a/tests/test_control/test_control_zonedraining.py
+++ b/tests/test_control/test_control_zonedraining.py
@@ -8,7 +8,7 @@
 from ringseam.commands import DrainZone, ZoneDrained
 from ringseam.control.follow import FollowService, HeldDocument
 from ringseam.control.openinterface import OpenInterface
-from ringseam.control.replicamessages import Leadership, Linearizable, NotLeading, Propose
+from ringseam.control.replicamessages import Leadership, NotLeading, Propose, ReadConfirmed
 from ringseam.control.state import StateMachine, encode_command
 from ringseam.errors import UnreachableError
 from ringseam.following import NotYet, WatchRequest, ZoneOrder
@@ -22,7 +22,7 @@
 from ringseam.zones import DrainedZones
 from tests.fakes import Network
 
-LEADS = Leadership(term=3, leader='c1', serves=True, voters=5, members=('c1', 'c2'))
+LEADS = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
 DRAIN = ZoneOrder(zone='a', drained=True)
 RESTORE = ZoneOrder(zone='a', drained=False)
 
@@ -44,7 +44,7 @@
 
 
 def drained(network):
-    return network.await_leader().machine.state.zones.names
+    return network.await_leader().state_machine.state.zones.names
 
 
 def test_orders_that_change_nothing_count_as_none():
@@ -67,10 +67,10 @@
 def test_snapshot_holds_drained_zones():
     machine = StateMachine()
     machine.apply(encode_command(DrainZone(zone='a', drained=True)))
-    before = machine.version
+    before = machine.watched_version
     again = StateMachine(snapshot=machine.snapshot())
     assert again.state.zones == machine.state.zones
-    assert again.version == before
+    assert again.watched_version == before
 
 
 def test_all_zones_at_once_and_taken_back_twice():
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize('seed', range(1, 6))
 def test_acknowledged_orders_outlive_kills_lost_disks_and_snapshots(seed):
     """All lose power, then a disk, then another; the log is compacted in between."""
-    network = Network(count=5, seed=seed, snapshot_entries=5, wanted_voters=5)
+    network = Network(count=5, seed=seed, snapshot_entries=5, target_voters=5)
     network.await_leader()
     order(network, 'a', drained=True)
     order(network, 'b', drained=True)
@@ -102,7 +102,7 @@
         network.run(12)
         assert drained(network) == ('b',)
     network.run(5)
-    held = {replica.machine.state.zones.names for replica in network.running()}
+    held = {replica.state_machine.state.zones.names for replica in network.running()}
     assert held == {('b',)}
 
 
@@ -131,7 +131,7 @@
 
     def __init__(self, *, leadership=LEADS, commits=True):
         self.commits = commits
-        self.machine = StateMachine()
+        self.state_machine = StateMachine()
         self.service = FollowService(
             node=Node(name='c1', role='control', address='c1', secret=b'x'),
             submit=self.submit,
@@ -144,12 +144,12 @@
     async def submit(self, command):
         if not self.commits:
             return NotLeading()
-        done = self.machine.apply(encode_command(command))
-        self.service.hold(HeldDocument(zones=self.machine.state.zones))
+        done = self.state_machine.apply(encode_command(command))
+        self.service.hold(HeldDocument(zones=self.state_machine.state.zones))
         return done
 
     async def confirm(self):
-        return Linearizable(term=3) if self.commits else NotLeading()
+        return ReadConfirmed(term=3) if self.commits else NotLeading()
 
 
 def received(**fields):
@@ -180,10 +180,10 @@
         for leader, expected in (
             (Leader(commits=False), Redirect),
             (Leader(leadership=Leadership(term=3, leader='c2')), Redirect),
-            (Leader(leadership=Leadership(term=3, leader='c1', serves=True, voters=4)), NotYet),
+            (Leader(leadership=Leadership(term=3, leader='c1', can_serve=True, voters=4)), NotYet),
         ):
             assert isinstance(await leader.service.zones.order(DRAIN), expected)
-            assert leader.machine.state.zones == DrainedZones()
+            assert leader.state_machine.state.zones == DrainedZones()
         assert isinstance(await Leader(commits=False).service.zones.read(), Redirect)
 
     asyncio.run(run())
@@ -268,7 +268,7 @@
     leader = Leader()
     asked = f'{line} HTTP/1.1\r\nHost: c\r\nContent-Length: {len(body)}\r\n\r\n{body}'
     assert asyncio.run(call(leader, asked)) == status
-    changed = leader.machine.state.zones.change
+    changed = leader.state_machine.state.zones.change
     assert changed == int(status == 200 and line.startswith('POST'))
 
 
@@ -294,6 +294,6 @@
         writer.close()
         await asyncio.sleep(0.1)
         await server.close()
-        return leader.machine.state.zones.change
+        return leader.state_machine.state.zones.change
 
     assert asyncio.run(run()) == 0
