--- a/bench/deciders.py
+++ b/bench/deciders.py
@@ -119,7 +119,7 @@
         self.pieces = PieceClient(
             clock=self.clock,
             client=self,
-            works=self.works,
+            scheduler=self.works,
             ownership=self.works.ownership,
         )
 
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -265,7 +265,7 @@
     Mutation(
         'a stage is asked for though its inputs were given up',
         'ringseam/gateway/stages/graph.py',
-        'if len(inputs) < sum(map(self.plan.pieces_of, stage.after)):',
+        'if len(inputs) < sum(map(self.plan.piece_count, stage.after)):',
         'if len(inputs) < 0:',
         'tests/test_gateway/test_stages/test_stages_graph.py',
     ),
@@ -335,7 +335,7 @@
     Mutation(
         'pieces are made after a verdict',
         'ringseam/gateway/stages/scheduler.py',
-        '            if self._admits(works, call):\n',
+        '            if self._remove_quarantined(state, call):\n',
         '            if call:\n',
         GUARD,
     ),
--- a/ringseam/gateway/requests/directtries.py
+++ b/ringseam/gateway/requests/directtries.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from ringseam.gateway.stages.scheduler import FETCH_S
+from ringseam.gateway.stages.scheduler import INPUT_FETCH_S
 from ringseam.gateway.work import Answered, NotRun, Quarantined
 from ringseam.quarantine import TrialState
 from ringseam.retries import Retry
@@ -81,7 +81,7 @@
         return state is TrialState.granted
 
     async def _has_inputs(self) -> bool:
-        if self.stages is None or self.stages.is_held:
+        if self.stages is None or self.stages.has_all_inputs:
             return True
         return await self.stages.run() is None
 
@@ -92,7 +92,7 @@
         # By then the server has fetched what the stages have made. Where room is
         # not scarce it stays until the first event, in case the server is lost.
         loop = asyncio.get_running_loop()
-        fetched = loop.call_later(FETCH_S, self.stages.release_scarce)
+        fetched = loop.call_later(INPUT_FETCH_S, self.stages.release_contended)
         try:
             return await self.attempts.send_once(self.work, server, self.relay)
         finally:
--- a/ringseam/gateway/requests/forwarding.py
+++ b/ringseam/gateway/requests/forwarding.py
@@ -218,8 +218,8 @@
             pieces=self.pieces,
             clock=self.clock,
             table=self.follower.table,
-            zone=await self._stage_zone(work),
-            zones=self.follower.view.zones,
+            server_zone=await self._stage_zone(work),
+            zone_by_address=self.follower.view.zones,
         )
         if await self._is_shed(work, stages):
             return
@@ -241,7 +241,7 @@
         """Refuse a request that would be late by far; it can come back."""
         if await self._has_no_turn(work):
             return True
-        await self.pieces.ask_waits(stages.services())
+        await self.pieces.refresh_waits(stages.services())
         work.predicted_s = stages.predicted_s() + LAST_SERVER_S
         refusal = self.admission.refuses(work, work.predicted_s, self.clock.now())
         if refusal is None:
--- a/ringseam/gateway/role.py
+++ b/ringseam/gateway/role.py
@@ -133,10 +133,10 @@
         self.pieces = PieceClient(
             clock=self.node.clock,
             client=self.client,
-            works=self.works,
+            scheduler=self.works,
             ownership=self.ownership,
         )
-        self.works.give_up = self.pieces.release
+        self.works.release_inputs = self.pieces.release
         answers = Answers(node=self.node, metrics=self.metrics)
         self.forwarder = Forwarder(
             node=self.node,
--- a/ringseam/gateway/stages/batching.py
+++ b/ringseam/gateway/stages/batching.py
@@ -15,11 +15,11 @@
 from typing import TYPE_CHECKING
 
 from ringseam.gateway.following.pacing import Pace
-from ringseam.gateway.stages.flow import Flow
+from ringseam.gateway.stages.capacity import ResultCapacity
 from ringseam.gateway.stages.jobs import Piece, PieceGroup, StageCall
-from ringseam.gateway.stages.order import beyond_next_calls, in_order, may_leave
-from ringseam.gateway.stages.outlook import Outlook
-from ringseam.gateway.stages.rooms import Rooms
+from ringseam.gateway.stages.order import dispatch_order, may_leave_zone, overflow_pieces
+from ringseam.gateway.stages.throughput import Throughput
+from ringseam.gateway.stages.waitestimate import WaitEstimate
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -31,16 +31,16 @@
 
 
 #: A server that takes this many times longer than expected counts as slow.
-_SLOW = 1.8
+_SLOW_FACTOR = 1.8
 #: A server that has said that it is full is left alone this long, seconds.
-FULL_S = 0.06
+FULL_BACKOFF_S = 0.06
 #: Of more idle servers than this only so many are looked at, by chance: there are some of
 #: each zone and of the quick ones among them.
-_LOOKED_AT = 48
+_MAX_COMPARED_SERVERS = 48
 
 
 @dataclass(kw_only=True)
-class Round:
+class QueueSnapshot:
     """One look at all that waits, shared by the servers that a call is sought for."""
 
     servers: Collection[BackendReport]
@@ -54,9 +54,9 @@
         return {server.zone for server in self.servers}
 
     @functools.cached_property
-    def beyond(self) -> set[Piece]:
+    def overflow(self) -> set[Piece]:
         """Return the pieces that the next calls of their zones don't reach."""
-        return beyond_next_calls(self.ordered, self.servers, self.spec)
+        return overflow_pieces(self.ordered, self.servers, self.spec)
 
 
 @dataclass(kw_only=True)
@@ -68,11 +68,11 @@
     pace: Pace = field(default_factory=Pace)
     #: Pieces that wait, in the order in which they came.
     waiting: dict[Piece, None] = field(default_factory=dict)
-    rooms: Rooms = field(default_factory=Rooms)
-    flow: Flow = field(default_factory=Flow)
+    capacity: ResultCapacity = field(default_factory=ResultCapacity)
+    throughput: Throughput = field(default_factory=Throughput)
     #: Until when servers that said so are full.
     full_until: dict[BackendId, float] = field(default_factory=dict)
-    numbers: itertools.count[int] = field(default_factory=itertools.count)
+    arrival_numbers: itertools.count[int] = field(default_factory=itertools.count)
     random: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
@@ -82,25 +82,25 @@
     def add(self, job: PieceJob, now: float) -> list[Piece]:
         """Let the pieces of a job wait."""
         if not job.returned:
-            self.flow.coming.add(len(job.pieces), now)
+            self.throughput.arrivals.add(len(job.pieces), now)
         group = PieceGroup()
         pieces = [
-            Piece(job=job, number=piece, order=next(self.numbers), group=group)
+            Piece(job=job, number=piece, arrival=next(self.arrival_numbers), group=group)
             for piece in job.pieces
         ]
         self.waiting.update(dict.fromkeys(pieces))
         return pieces
 
-    def again(self, piece: Piece, server: BackendId) -> None:
+    def requeue_after_failure(self, piece: Piece, server: BackendId) -> None:
         """Let a piece wait once more, for another server if there is one."""
         piece.tries += 1
-        piece.avoid.add(server)
+        piece.failed_servers.add(server)
         self.waiting[piece] = None
 
-    def found_full(self, piece: Piece, server: BackendId, spec: BatchSpec, now: float) -> None:
+    def requeue_full(self, piece: Piece, server: BackendId, spec: BatchSpec, now: float) -> None:
         """Let a piece wait that a server had no room for."""
-        self.full_until[server] = now + FULL_S
-        self.rooms.found_full(server, piece.job.result_bytes, spec, now)
+        self.full_until[server] = now + FULL_BACKOFF_S
+        self.capacity.mark_full(server, piece.job.result_bytes, spec, now)
         self.waiting[piece] = None
 
     def cancel(self, pieces: Collection[Piece]) -> None:
@@ -120,19 +120,21 @@
         idle = self._idle(servers, spec, now)
         if not idle:
             return None
-        alive = [piece for piece in self.waiting if not _is_vain(piece, spec, now)]
-        looked = Round(servers=servers, spec=spec, now=now, ordered=in_order(alive, now))
-        idle.sort(key=lambda known: self._preference(known, now))
+        alive = [piece for piece in self.waiting if not _is_unmeetable(piece, spec, now)]
+        snapshot = QueueSnapshot(
+            servers=servers, spec=spec, now=now, ordered=dispatch_order(alive, now)
+        )
+        idle.sort(key=lambda server: self._server_preference(server, now))
         zones = collections.Counter(server.zone for server in idle)
         for server in idle:
             zones[server.zone] -= 1
-            pieces = self._pick(server, looked, +zones)
+            pieces = self._select_pieces(server, snapshot, +zones)
             zones[server.zone] += 1
             if pieces:
-                return self._begin(server, pieces, spec, now)
+                return self._start_call(server, pieces, spec, now)
         return None
 
-    def hopeless(
+    def pieces_to_shed(
         self,
         servers: Collection[BackendReport],
         spec: BatchSpec,
@@ -147,59 +149,64 @@
         What no call can make before its client's time is over is given up whatever
         else waits.
         """
-        vain = [piece for piece in self.waiting if _is_vain(piece, spec, now)]
+        unmeetable = [piece for piece in self.waiting if _is_unmeetable(piece, spec, now)]
         next_calls = len(servers) * spec.slots * spec.batch
         if len(self.waiting) < next_calls:
-            return vain
-        outlook = self.outlook(servers, spec, now)
+            return unmeetable
+        estimate = self.wait_estimate(servers, spec, now)
         # All that waits is looked at once; what it waits is the same for its equals.
-        waits = {known: outlook.wait_s(known) for known in outlook.ahead if known.returned}
+        waits = {
+            precedence: estimate.wait_s(precedence)
+            for precedence in estimate.counts_by_precedence
+            if precedence.returned
+        }
         latest = now + spec.call_s + spec.piece_s
         late = [
             piece
             for piece in self.waiting
-            if not piece.group.begun and piece.job.due < latest + waits.get(piece.job.precedence, 0)
+            if not piece.group.started
+            and piece.job.due < latest + waits.get(piece.job.precedence, 0)
         ]
-        begun = [piece for piece in vain if piece.group.begun]
-        return late + begun if len(self.waiting) - len(late) >= next_calls else vain
+        started = [piece for piece in unmeetable if piece.group.started]
+        return late + started if len(self.waiting) - len(late) >= next_calls else unmeetable
 
-    def outlook(
+    def wait_estimate(
         self,
         servers: Collection[BackendReport],
         spec: BatchSpec,
         now: float,
-    ) -> Outlook:
+    ) -> WaitEstimate:
         """Return how long new pieces would wait."""
         if not servers:
-            return Outlook(waiting=len(self.waiting))
-        return Outlook(
+            return WaitEstimate(waiting=len(self.waiting))
+        return WaitEstimate(
             until_free_s=max(
-                self.flow.until_free_s(servers, spec, now),
+                self.throughput.until_free_s(servers, spec, now),
                 min(self.pace.call_wait_s(server.instance, now) for server in servers),
             ),
-            leaving_per_s=self._pieces_per_s(servers, spec, now),
-            coming_per_s=self.flow.coming.per_s(now),
-            ahead=collections.Counter(
+            departures_per_s=self._pieces_per_s(servers, spec, now),
+            arrivals_per_s=self.throughput.arrivals.per_s(now),
+            counts_by_precedence=collections.Counter(
                 piece.job.precedence for piece in self.waiting if piece.job.due > now
             ),
             waiting=len(self.waiting),
         )
 
-    def ended(self, call: StageCall) -> None:
+    def call_ended(self, call: StageCall) -> None:
         """Hear that a call is over; results that weren't made need no room."""
         instance = call.server.instance
-        self.flow.ended(instance)
-        self.rooms.freed(instance, sum(piece.job.result_bytes for piece in call.pieces))
+        self.throughput.call_ended(instance)
+        self.capacity.release(instance, sum(piece.job.result_bytes for piece in call.pieces))
 
-    def withdraw(self, call: StageCall, piece: Piece) -> None:
+    def remove_from_call(self, call: StageCall, piece: Piece) -> None:
         """Take a piece out of a call that has not been sent."""
         call.pieces.remove(piece)
-        self.rooms.freed(call.server.instance, piece.job.result_bytes)
+        self.capacity.release(call.server.instance, piece.job.result_bytes)
 
     def keep_only(self, instances: set[BackendId]) -> None:
         """Forget servers that are gone."""
-        self.rooms.keep_only(instances)
-        self.flow.keep_only(instances)
+        self.capacity.keep_only(instances)
+        self.throughput.keep_only(instances)
 
     # -- helpers ------------------------------------------------------------
 
@@ -209,7 +216,7 @@
         spec: BatchSpec,
         now: float,
     ) -> list[BackendReport]:
-        calls = self.flow.calls
+        calls = self.throughput.calls
         idle = [
             server
             for server in servers
@@ -217,15 +224,15 @@
             and self.full_until.get(server.instance, 0) <= now
             and not self.pace.call_wait_s(server.instance, now)
         ]
-        if len(idle) > _LOOKED_AT:
-            idle = self.random.sample(idle, _LOOKED_AT)
-        sound = [server for server in idle if self._is_sound(server, now)]
-        return sound if any(self._is_sound(server, now) for server in servers) else idle
+        if len(idle) > _MAX_COMPARED_SERVERS:
+            idle = self.random.sample(idle, _MAX_COMPARED_SERVERS)
+        healthy = [server for server in idle if self._is_healthy(server, now)]
+        return healthy if any(self._is_healthy(server, now) for server in servers) else idle
 
-    def _is_sound(self, server: BackendReport, now: float) -> bool:
+    def _is_healthy(self, server: BackendReport, now: float) -> bool:
         return now >= self.health.of(server.instance).ejected_until
 
-    def _spared(
+    def _left_to_faster(
         self,
         server: BackendReport,
         servers: Collection[BackendReport],
@@ -238,29 +245,29 @@
         a call that takes ``slowness`` times as long.
         """
         slowness = self.health.of(server.instance).slowness_at(now)
-        if slowness < _SLOW:
+        if slowness < _SLOW_FACTOR:
             return 0
         faster = sum(
             1
             for other in servers
-            if self._is_sound(other, now)
-            and self.health.of(other.instance).slowness_at(now) < _SLOW
+            if self._is_healthy(other, now)
+            and self.health.of(other.instance).slowness_at(now) < _SLOW_FACTOR
         )
         return int((slowness - 1) * spec.batch * spec.slots * faster)
 
-    def _preference(self, server: BackendReport, now: float) -> tuple[bool, float, int, str]:
+    def _server_preference(self, server: BackendReport, now: float) -> tuple[bool, float, int, str]:
         standing = self.health.of(server.instance)
         return (
             standing.silent,
             round(standing.slowness_at(now), 1),
-            self.rooms.kept_bytes.get(server.instance, 0),
+            self.capacity.used_bytes.get(server.instance, 0),
             server.instance,
         )
 
-    def _pick(
+    def _select_pieces(
         self,
         server: BackendReport,
-        looked: Round,
+        snapshot: QueueSnapshot,
         idle_zones: Collection[str],
     ) -> list[Piece]:
         """Return the pieces of a call: those of its zone or in a hurry.
@@ -269,35 +276,40 @@
         last call unanswered shows by the least urgent piece whether it answers again: until
         then each call is lost for several times its length.
         """
-        spec, now, servers = looked.spec, looked.now, looked.servers
-        spared = self._spared(server, servers, spec, now)
-        if spared:
-            looked = Round(
+        spec, now, servers = snapshot.spec, snapshot.now, snapshot.servers
+        left_to_faster = self._left_to_faster(server, servers, spec, now)
+        if left_to_faster:
+            snapshot = QueueSnapshot(
                 servers=servers,
                 spec=spec,
                 now=now,
-                ordered=looked.ordered[spared:],
+                ordered=snapshot.ordered[left_to_faster:],
             )
         allowed = [
             piece
-            for piece in looked.ordered
+            for piece in snapshot.ordered
             if piece.job.may_run_in(server.zone)
-            and (server.instance not in piece.avoid or len(piece.avoid) >= len(servers))
+            and (
+                server.instance not in piece.failed_servers
+                or len(piece.failed_servers) >= len(servers)
+            )
         ]
-        near = [
+        eligible = [
             piece
             for piece in allowed
             if piece.job.zone == server.zone
-            or piece.job.zone not in looked.zones
-            or piece in looked.beyond
-            or (piece.job.zone not in idle_zones and may_leave(piece, spec, now))
+            or piece.job.zone not in snapshot.zones
+            or piece in snapshot.overflow
+            or (piece.job.zone not in idle_zones and may_leave_zone(piece, spec, now))
         ]
         late = [piece for piece in allowed if piece.job.due <= now]
         if self.health.of(server.instance).silent:
-            near, late = near[-1:], late[-1:]
-        return self._fit(near, server, spec, now) or self._fit(late, server, spec, now)
+            eligible, late = eligible[-1:], late[-1:]
+        return self._pieces_that_fit(eligible, server, spec, now) or self._pieces_that_fit(
+            late, server, spec, now
+        )
 
-    def _fit(
+    def _pieces_that_fit(
         self,
         pieces: list[Piece],
         server: BackendReport,
@@ -310,22 +322,22 @@
         take whole is left to the next one: a part of it would hold room, and all
         of it would be as late.
         """
-        room = self.rooms.left(server.instance, spec, now)
-        if room >= self.rooms.whole(spec):
+        free_bytes = self.capacity.free_bytes(server.instance, spec, now)
+        if free_bytes >= self.capacity.nominal_bytes(spec):
             # An empty server takes one piece, whatever its size.
-            room = max(room, pieces[0].job.result_bytes if pieces else 0)
-        picked: list[Piece] = []
+            free_bytes = max(free_bytes, pieces[0].job.result_bytes if pieces else 0)
+        selected: list[Piece] = []
         for job_pieces in _by_job(pieces):
-            free = spec.batch - len(picked)
+            free = spec.batch - len(selected)
             splits = free < len(job_pieces) <= spec.batch
-            if splits and not job_pieces[0].group.begun:
+            if splits and not job_pieces[0].group.started:
                 continue
             size = job_pieces[0].job.result_bytes
-            fitting = max(0, int(room // size)) if size else free
+            fitting = max(0, int(free_bytes // size)) if size else free
             taken = job_pieces[: min(free, fitting)]
-            room -= size * len(taken)
-            picked.extend(taken)
-        return picked
+            free_bytes -= size * len(taken)
+            selected.extend(taken)
+        return selected
 
     def _pieces_per_s(
         self,
@@ -336,17 +348,17 @@
         working = [
             server
             for server in servers
-            if self._is_sound(server, now) and not self.pace.pauses.left_s(server.instance, now)
+            if self._is_healthy(server, now) and not self.pace.pauses.left_s(server.instance, now)
         ]
-        sound = sum(self._part(server, spec) for server in working)
-        return self.flow.pieces_per_s(sound, spec)
+        healthy = sum(self._usable_share(server, spec) for server in working)
+        return self.throughput.pieces_per_s(healthy, spec)
 
-    def _part(self, server: BackendReport, spec: BatchSpec) -> float:
+    def _usable_share(self, server: BackendReport, spec: BatchSpec) -> float:
         """Return which part of its time a server may work, by the limit that it names."""
         limit = self.pace.limits.of(server.instance)
         return 1 if limit is None else min(1, limit.pace_per_s * spec.whole_call_s / spec.slots)
 
-    def _begin(
+    def _start_call(
         self,
         server: BackendReport,
         pieces: list[Piece],
@@ -360,14 +372,14 @@
             pieces=pieces,
             expected_s=spec.call_s + spec.piece_s * len(pieces),
         )
-        self.flow.begun(call, now, crowded=bool(self.waiting))
-        self.rooms.kept(server.instance, sum(piece.job.result_bytes for piece in pieces))
+        self.throughput.call_started(call, now, has_backlog=bool(self.waiting))
+        self.capacity.reserve(server.instance, sum(piece.job.result_bytes for piece in pieces))
         for piece in pieces:
-            piece.group.begun = True
+            piece.group.started = True
         return call
 
 
-def _is_vain(piece: Piece, spec: BatchSpec, now: float) -> bool:
+def _is_unmeetable(piece: Piece, spec: BatchSpec, now: float) -> bool:
     """Return whether no call that begins now can make a piece within its time."""
     return piece.job.deadline < now + spec.call_s
 
--- a/ringseam/gateway/stages/calllog.py
+++ b/ringseam/gateway/stages/calllog.py
@@ -16,7 +16,7 @@
 logger = logging.getLogger(__name__)
 
 
-class PieceLog:
+class CallLog:
     """Say what was decided on calls, and by what."""
 
     def __init__(self, *, node: Node) -> None:
@@ -31,17 +31,17 @@
             service=batcher.service,
             pieces=len(call.pieces),
             waiting=len(batcher.waiting),
-            kept_bytes=batcher.rooms.kept_bytes.get(call.server.instance, 0),
+            kept_bytes=batcher.capacity.used_bytes.get(call.server.instance, 0),
         )
 
-    def refused(self, batcher: Batcher, call: StageCall, made: list[PieceResult]) -> None:
+    def refused(self, batcher: Batcher, call: StageCall, piece_results: list[PieceResult]) -> None:
         """Say that a server did not make some pieces."""
         self._emit(
             Event.pieces_refused,
             call,
-            faults=[outcome.fault.value for outcome in made if outcome.fault is not None],
+            faults=[result.fault.value for result in piece_results if result.fault is not None],
             pieces=len(call.pieces),
-            kept_bytes=batcher.rooms.kept_bytes.get(call.server.instance, 0),
+            kept_bytes=batcher.capacity.used_bytes.get(call.server.instance, 0),
         )
 
     def lost(self, call: StageCall, detail: str) -> None:
--- a/ringseam/gateway/stages/calls.py
+++ b/ringseam/gateway/stages/calls.py
@@ -67,12 +67,12 @@
         body = await self._post(server.address, server.instance, RUN_PATH, encode_orders(orders))
         return decode_results(body, len(orders))
 
-    async def release(self, maker: str, instance: BackendId, handles: list[str]) -> None:
+    async def release(self, address: str, instance: BackendId, handles: list[str]) -> None:
         """Give results up at their maker.
 
         :raises ChannelError: when it can't be told.
         """
-        await self._post(maker, instance, FREE_PATH, encode_release(handles))
+        await self._post(address, instance, FREE_PATH, encode_release(handles))
 
     async def _post(self, address: str, instance: BackendId, path: str, body: bytes) -> bytes:
         channel = await self.pool.acquire(address, timeout_s=_CONNECT_S)
--- a/ringseam/gateway/stages/rooms.py
+++ b/ringseam/gateway/stages/capacity.py
@@ -17,11 +17,11 @@
 _AMPLE_SHARE = 0.85
 #: Room that was found taken by unknown results is believed taken this long,
 #: seconds: a try costs a call.
-UNKNOWN_S = 0.5
+UNKNOWN_USAGE_S = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
-class UnknownRoom:
+class UnknownUsage:
     """Bytes of a server's room that others' results take, and until when to believe it."""
 
     amount: int
@@ -29,55 +29,55 @@
 
 
 @dataclass(kw_only=True)
-class Rooms:
+class ResultCapacity:
     """Bytes of results by server: those that are known, and signs of others."""
 
     #: Bytes of results that each server keeps or is about to make.
-    kept_bytes: dict[BackendId, int] = field(default_factory=dict)
+    used_bytes: dict[BackendId, int] = field(default_factory=dict)
     #: Room that is taken by results that are not known here.
-    unknown: dict[BackendId, UnknownRoom] = field(default_factory=dict)
+    unknown: dict[BackendId, UnknownUsage] = field(default_factory=dict)
 
-    def kept(self, instance: BackendId, amount: int) -> None:
+    def reserve(self, instance: BackendId, amount: int) -> None:
         """Hear that a server keeps a result."""
-        self.kept_bytes[instance] = self.kept_bytes.get(instance, 0) + amount
+        self.used_bytes[instance] = self.used_bytes.get(instance, 0) + amount
 
-    def freed(self, instance: BackendId, amount: int) -> None:
+    def release(self, instance: BackendId, amount: int) -> None:
         """Hear that a server has given up a result."""
-        self.kept_bytes[instance] = max(0, self.kept_bytes.get(instance, 0) - amount)
+        self.used_bytes[instance] = max(0, self.used_bytes.get(instance, 0) - amount)
 
-    def found_full(self, instance: BackendId, size: int, spec: BatchSpec, now: float) -> None:
+    def mark_full(self, instance: BackendId, size: int, spec: BatchSpec, now: float) -> None:
         """Hear that a result didn't fit that should have.
 
         That tells of results that are not known here: of a gateway that is gone,
         say, or larger than named.
         """
-        others = spec.room_bytes - self.kept_bytes.get(instance, 0) - size
-        self.unknown[instance] = UnknownRoom(amount=max(0, others), until=now + UNKNOWN_S)
+        others = spec.room_bytes - self.used_bytes.get(instance, 0) - size
+        self.unknown[instance] = UnknownUsage(amount=max(0, others), until=now + UNKNOWN_USAGE_S)
 
-    def whole(self, spec: BatchSpec) -> float:
+    def nominal_bytes(self, spec: BatchSpec) -> float:
         """Return the bytes of results, as routes name them, that an empty server takes."""
         return spec.room_bytes / _SIZE_MARGIN
 
-    def left(self, instance: BackendId, spec: BatchSpec, now: float) -> float:
+    def free_bytes(self, instance: BackendId, spec: BatchSpec, now: float) -> float:
         """Return the bytes of results, as routes name them, that a server still takes."""
-        left = self.whole(spec) - self.kept_bytes.get(instance, 0)
+        free = self.nominal_bytes(spec) - self.used_bytes.get(instance, 0)
         others = self.unknown.get(instance)
         if others is not None and now < others.until:
-            left -= others.amount
-        return left
+            free -= others.amount
+        return free
 
-    def sure_bytes(self, call: StageCall, spec: BatchSpec) -> float:
+    def guaranteed_bytes(self, call: StageCall, spec: BatchSpec) -> float:
         """Return how many bytes of a call's results its server has room for, for sure.
 
         A server gives room to the pieces of a call in their order.
         """
         own = sum(piece.job.result_bytes for piece in call.pieces)
-        others = self.kept_bytes.get(call.server.instance, 0) - own
+        others = self.used_bytes.get(call.server.instance, 0) - own
         return _AMPLE_SHARE * spec.room_bytes - others
 
     def keep_only(self, instances: set[BackendId]) -> None:
         """Forget servers that are gone."""
-        for instance in set(self.kept_bytes) - instances:
-            self.kept_bytes.pop(instance)
+        for instance in set(self.used_bytes) - instances:
+            self.used_bytes.pop(instance)
         for instance in set(self.unknown) - instances:
             self.unknown.pop(instance)
--- a/ringseam/gateway/stages/client.py
+++ b/ringseam/gateway/stages/client.py
@@ -47,17 +47,17 @@
 
 #: What an owner said of its waiting pieces is believed this long, seconds: a
 #: call of a stage server takes 0.2 s and more.
-_WAITS_S = 0.5
+_WAITS_TTL_S = 0.5
 #: An owner whose word is older than this is asked anew before a request is
 #: taken in, seconds. Under load its answers come late, when they matter most.
-_WAITS_FRESH_S = 0.15
+_WAITS_REFRESH_S = 0.15
 #: An owner is milliseconds away; its answer is not waited for longer, seconds.
-_WAITS_ASK_S = 0.05
-_RELEASE_S = 1.0
+_WAITS_TIMEOUT_S = 0.05
+_RELEASE_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class ToldWaits:
+class ReportedWaits:
     """How long new pieces wait at a service's owner, and when it said so."""
 
     at: float
@@ -78,62 +78,62 @@
         *,
         clock: Clock,
         client: CallClient,
-        works: PieceScheduler,
+        scheduler: PieceScheduler,
         ownership: Ownership,
     ) -> None:
         """Use ``works`` for the services that this gateway owns."""
         self.clock = clock
         self.client = client
-        self.works = works
+        self.scheduler = scheduler
         self.ownership = ownership
         self.tasks = TaskSet()
-        self.told: dict[ServiceName, ToldWaits] = {}
+        self.reported_waits: dict[ServiceName, ReportedWaits] = {}
 
-    async def make(self, job: PieceJob) -> list[PieceResult]:
+    async def run(self, job: PieceJob) -> list[PieceResult]:
         """Return a result for each piece of a job."""
         asked: set[str] = set()
         owner = self.ownership.owner_of(job.service)
         while owner and owner not in asked:
             asked.add(owner)
-            reply = await self._ask_owner(owner, job)
+            reply = await self._run_at_owner(owner, job)
             if reply is not None:
                 return reply
             owner = self.ownership.owner_of(job.service)
         if job.deadline <= self.clock.now():
             # The owner has used all the time; nothing can be made here either.
             return [PieceResult(fault=PieceFault.late) for _ in job.pieces]
-        return await self.works.make(job)
+        return await self.scheduler.run(job)
 
     def release(self, service: ServiceName, handles: tuple[str, ...]) -> None:
         """Give results up, without waiting."""
         owner = self.ownership.owner_of(service)
         if owner:
-            self.tasks.spawn(self._tell_owner(owner, service, handles))
+            self.tasks.spawn(self._send_release(owner, service, handles))
         else:
-            self.works.release(service, handles)
+            self.scheduler.release(service, handles)
 
     def wait_s(self, service: ServiceName, precedence: Precedence) -> float:
         """Return how long a new piece would wait, as far as is known, seconds."""
         if not self.ownership.owner_of(service):
-            return self.works.wait_s(service, precedence)
-        told = self._told(service)
-        return told.wait_s(precedence) if told else 0
+            return self.scheduler.wait_s(service, precedence)
+        reported = self._current_report(service)
+        return reported.wait_s(precedence) if reported else 0
 
     def backlog_s(self, service: ServiceName) -> float:
         """Return how long all that waits takes to leave, as far as is known, seconds."""
         if not self.ownership.owner_of(service):
-            return self.works.backlog_s(service)
-        told = self._told(service)
-        return told.waits.backlog_ms / MS_PER_S if told else 0
+            return self.scheduler.backlog_s(service)
+        reported = self._current_report(service)
+        return reported.waits.backlog_ms / MS_PER_S if reported else 0
 
-    async def ask_waits(self, services: Collection[ServiceName]) -> None:
+    async def refresh_waits(self, services: Collection[ServiceName]) -> None:
         """Ask owners whose word on some services is old."""
-        oldest = self.clock.now() - _WAITS_FRESH_S
+        oldest = self.clock.now() - _WAITS_REFRESH_S
         asked: dict[str, list[ServiceName]] = {}
         for service in sorted(services):
             owner = self.ownership.owner_of(service)
-            told = self.told.get(service)
-            if owner and (told is None or told.at < oldest):
+            reported = self.reported_waits.get(service)
+            if owner and (reported is None or reported.at < oldest):
                 asked.setdefault(owner, []).append(service)
         await asyncio.gather(
             *(self._ask_owner_waits(owner, tuple(names)) for owner, names in asked.items()),
@@ -145,43 +145,43 @@
         """Tell another gateway how long new pieces would wait here."""
         request: WaitsRequest = received.body
         return WaitsReply(
-            waits={service: self.works.waits(service) for service in request.services},
+            waits={service: self.scheduler.waits(service) for service in request.services},
         )
 
     async def serve_pieces(self, received: Received) -> PieceReply:
         """Make pieces for another gateway."""
         request: PieceRequest = received.body
-        outcome = await self.works.make(_job_of(request, self.clock.now()))
+        outcome = await self.scheduler.run(_job_of(request, self.clock.now()))
         faults = [piece.fault for piece in outcome if piece.fault is not None]
         return PieceReply(
             handles=tuple(piece.handle for piece in outcome),
             fault=faults[0].value if faults else '',
-            waits=self.works.waits(request.service),
+            waits=self.scheduler.waits(request.service),
         )
 
     async def serve_release(self, received: Received) -> Empty:
         """Give up results for another gateway."""
         request: ReleaseRequest = received.body
-        self.works.release(request.service, request.handles)
+        self.scheduler.release(request.service, request.handles)
         return Empty()
 
     # -- helpers ------------------------------------------------------------
 
-    def _told(self, service: ServiceName) -> ToldWaits | None:
+    def _current_report(self, service: ServiceName) -> ReportedWaits | None:
         """Return what an owner said of its waits, while it is to be believed."""
-        told = self.told.get(service)
-        if told is None or self.clock.now() - told.at > _WAITS_S:
+        reported = self.reported_waits.get(service)
+        if reported is None or self.clock.now() - reported.at > _WAITS_TTL_S:
             return None
-        return told
+        return reported
 
-    async def _ask_owner(self, owner: str, job: PieceJob) -> list[PieceResult] | None:
+    async def _run_at_owner(self, owner: str, job: PieceJob) -> list[PieceResult] | None:
         """Return the owner's results; None when it can't be reached."""
         now = self.clock.now()
-        limit = max(0, job.deadline - now)
+        timeout_s = max(0, job.deadline - now)
         request = _request_of(job, now)
-        call = asyncio.ensure_future(self.client.call(owner, PIECES, request, timeout_s=limit))
+        call = asyncio.ensure_future(self.client.call(owner, PIECES, request, timeout_s=timeout_s))
         try:
-            await self._until_done(call, owner)
+            await self._wait_for_call(call, owner)
             if not call.done():
                 return None
             reply: PieceReply = call.result().body
@@ -190,21 +190,21 @@
             return None
         finally:
             call.cancel()
-        self.told[job.service] = ToldWaits(at=self.clock.now(), waits=reply.waits)
+        self.reported_waits[job.service] = ReportedWaits(at=self.clock.now(), waits=reply.waits)
         return _results_of(reply)
 
     async def _ask_owner_waits(self, owner: str, services: tuple[ServiceName, ...]) -> None:
         request = WaitsRequest(services=services)
         try:
-            received = await self.client.call(owner, WAITS, request, timeout_s=_WAITS_ASK_S)
+            received = await self.client.call(owner, WAITS, request, timeout_s=_WAITS_TIMEOUT_S)
         except UnreachableError as error:
             logger.debug('waits not told: %s', error)
             return
         reply: WaitsReply = received.body
         for service, waits in reply.waits.items():
-            self.told[service] = ToldWaits(at=self.clock.now(), waits=waits)
+            self.reported_waits[service] = ReportedWaits(at=self.clock.now(), waits=waits)
 
-    async def _until_done(
+    async def _wait_for_call(
         self,
         call: asyncio.Future[Received],
         owner: str,
@@ -214,13 +214,13 @@
         An owner that is stopping finishes what it was asked for.
         """
         while not call.done() and self.ownership.is_present(owner):
-            changed = asyncio.ensure_future(self.works.changed.wait())
+            changed = asyncio.ensure_future(self.scheduler.changed.wait())
             try:
                 await asyncio.wait({call, changed}, return_when=asyncio.FIRST_COMPLETED)
             finally:
                 changed.cancel()
 
-    async def _tell_owner(
+    async def _send_release(
         self,
         owner: str,
         service: ServiceName,
@@ -228,7 +228,7 @@
     ) -> None:
         request = ReleaseRequest(service=service, handles=handles)
         try:
-            await self.client.call(owner, RELEASE, request, timeout_s=_RELEASE_S)
+            await self.client.call(owner, RELEASE, request, timeout_s=_RELEASE_TIMEOUT_S)
         except UnreachableError as error:
             # Results give themselves up after a while.
             logger.debug('owner of %s: %s', service, error)
--- a/ringseam/gateway/stages/graph.py
+++ b/ringseam/gateway/stages/graph.py
@@ -22,15 +22,15 @@
     from ringseam.routes import Route, RouteStage, RouteTable, ServiceName
 
 #: What an engine needs of the objective after the stages, seconds.
-_ENGINE_S = 0.4
+_ENGINE_BUDGET_S = 0.4
 #: Results of fewer bytes than this may cross zones: where a gigabyte costs as much as
 #: 200 of the cheapest requests, this much costs a fiftieth of one.
-_DEAR_BYTES = 100_000
+_COSTLY_BYTES = 100_000
 #: Pieces that wait longer than this show that a service has no time or room to
 #: spare, seconds: half of a call of no pieces.
-_SCARCE_WAIT_S = 0.1
+_CONTENTION_WAIT_S = 0.1
 #: A stage graph is run this often, when results are lost on the way.
-_GRAPH_TRIES = 2
+_MAX_GRAPH_RUNS = 2
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -49,13 +49,13 @@
     clock: Clock
     table: RouteTable
     #: The availability zone that the last server will be in; empty: any.
-    zone: str
+    server_zone: str
     #: Availability zones by the addresses of backend servers.
-    zones: dict[str, str]
+    zone_by_address: dict[str, str]
     handles: dict[int, tuple[str, ...]] = field(default_factory=dict)
-    finished: set[int] = field(default_factory=set)
+    completed: set[int] = field(default_factory=set)
     #: When the results of each stage were there.
-    made_at: dict[int, float] = field(default_factory=dict)
+    completed_at: dict[int, float] = field(default_factory=dict)
     plan: StagePlan = field(init=False)
 
     def __post_init__(self) -> None:
@@ -72,21 +72,21 @@
         return self.work.route.stages
 
     @property
-    def is_held(self) -> bool:
+    def has_all_inputs(self) -> bool:
         """Return whether all results that the last server needs are still there.
 
         A server runs a request with too few inputs, so each of them counts.
         """
         return all(
-            len(self.handles.get(number, ())) == self.plan.pieces_of(number)
-            for number in self.plan.last_stages()
+            len(self.handles.get(number, ())) == self.plan.piece_count(number)
+            for number in self.plan.final_stages()
         )
 
     async def run(self) -> StageFault | None:
         """Make all results; None when they are there."""
-        for _ in range(_GRAPH_TRIES):
+        for _ in range(_MAX_GRAPH_RUNS):
             self.release()
-            self.finished.clear()
+            self.completed.clear()
             fault = await self._run_once()
             if fault is None:
                 return None
@@ -100,8 +100,8 @@
         stages = self.stages
         ends: list[float] = []
         for number, stage in enumerate(stages):
-            begin = max((ends[before] for before in stage.after), default=0)
-            if self.plan.pieces_of(number):
+            begin = max((ends[predecessor] for predecessor in stage.after), default=0)
+            if self.plan.piece_count(number):
                 begin += self.pieces.wait_s(stage.service, self.work.precedence)
                 begin += self.plan.call_s(number)
             ends.append(begin)
@@ -110,13 +110,15 @@
     def services(self) -> set[ServiceName]:
         """Return the services that the request needs pieces of."""
         return {
-            stage.service for number, stage in enumerate(self.stages) if self.plan.pieces_of(number)
+            stage.service
+            for number, stage in enumerate(self.stages)
+            if self.plan.piece_count(number)
         }
 
     def inputs(self) -> tuple[str, ...]:
         """Return the handles of the stages that no other stage follows."""
         return tuple(
-            handle for number in self.plan.last_stages() for handle in self.handles.get(number, ())
+            handle for number in self.plan.final_stages() for handle in self.handles.get(number, ())
         )
 
     def input_bytes(self) -> dict[str, int]:
@@ -125,7 +127,7 @@
         for number, handles in self.handles.items():
             size = self.stages[number].result_bytes
             for handle in handles:
-                found[self.zones.get(maker_of(handle), '')] += size
+                found[self.zone_by_address.get(maker_of(handle), '')] += size
         return dict(found)
 
     def release(self) -> None:
@@ -133,10 +135,10 @@
         for number in list(self.handles):
             self._release_stage(number)
 
-    def release_scarce(self) -> None:
+    def release_contended(self) -> None:
         """Give up the results of services where pieces wait: room may be short."""
         for number in list(self.handles):
-            if self.pieces.backlog_s(self.stages[number].service) > _SCARCE_WAIT_S:
+            if self.pieces.backlog_s(self.stages[number].service) > _CONTENTION_WAIT_S:
                 self._release_stage(number)
 
     def _is_in_time(self) -> bool:
@@ -148,46 +150,46 @@
         tasks: dict[int, asyncio.Task[PieceFault | None]] = {}
         async with asyncio.TaskGroup() as group:
             for number, stage in enumerate(stages):
-                tasks[number] = group.create_task(self._stage(number, stage, tasks))
+                tasks[number] = group.create_task(self._run_stage(number, stage, tasks))
             return await _first_fault_of(tasks.values())
 
-    async def _stage(
+    async def _run_stage(
         self,
         number: int,
         stage: RouteStage,
         tasks: dict[int, asyncio.Task[PieceFault | None]],
     ) -> PieceFault | None:
-        count = self.plan.pieces_of(number)
-        paced = self.plan.paced_by(number) if count else ()
-        for before in (*stage.after, *paced):
-            fault = await tasks[before]
+        count = self.plan.piece_count(number)
+        awaited = self.plan.start_after(number) if count else ()
+        for predecessor in (*stage.after, *awaited):
+            fault = await tasks[predecessor]
             if fault is not None:
                 return fault
         if not count:
             return None
         inputs = tuple(handle for used in stage.after for handle in self.handles.get(used, ()))
-        if len(inputs) < sum(map(self.plan.pieces_of, stage.after)):
+        if len(inputs) < sum(map(self.plan.piece_count, stage.after)):
             # They were given up meanwhile: this run is being cancelled.
             return PieceFault.gone
-        made = await self.pieces.make(self._job(number, stage, count, inputs))
+        made = await self.pieces.run(self._job(number, stage, count, inputs))
         self.handles[number] = tuple(result.handle for result in made if result.handle)
         fault = _first_fault(made)
         if fault is None:
-            self.finished.add(number)
-            self.made_at[number] = self.clock.now()
-            self._release_used()
+            self.completed.add(number)
+            self.completed_at[number] = self.clock.now()
+            self._release_consumed()
         return fault
 
-    def _release_used(self) -> None:
+    def _release_consumed(self) -> None:
         """Give up results that all following stages have used."""
         stages = self.stages
         for number in list(self.handles):
-            users = {
+            consumers = {
                 later
                 for later, stage in enumerate(stages)
-                if number in stage.after and self.plan.pieces_of(later)
+                if number in stage.after and self.plan.piece_count(later)
             }
-            if users and users <= self.finished:
+            if consumers and consumers <= self.completed:
                 self._release_stage(number)
 
     def _release_stage(self, number: int) -> None:
@@ -210,50 +212,54 @@
             pieces=tuple(range(count)),
             key='' if inputs else work.request.piece_key,
             inputs=inputs,
-            due=work.goal - _ENGINE_S - self.plan.later_s(number),
-            deadline=work.deadline - self.plan.least_s(number),
+            due=work.goal - _ENGINE_BUDGET_S - self.plan.remaining_s(number),
+            deadline=work.deadline - self.plan.min_remaining_s(number),
             rank=work.precedence.rank,
             returned=work.precedence.returned,
             result_bytes=stage.result_bytes,
             expires=self._expiry_of_inputs(stage),
-            zone=self._zone_for(number, inputs),
+            zone=self._preferred_zone(number, inputs),
             zones=work.zones,
-            inputs_of=self.plan.sole_maker(number),
+            inputs_of=self.plan.sole_input_service(number),
             suspect=work.suspect,
             trial_at=work.trial_at,
         )
 
-    def _zone_for(self, number: int, inputs: tuple[str, ...]) -> str:
+    def _preferred_zone(self, number: int, inputs: tuple[str, ...]) -> str:
         """Return where a stage should work; empty where it makes no difference.
 
         Near what it reads, if that is much; else near the last server, if that
         reads much of it.
         """
         stage = self.stages[number]
-        if sum(map(self.plan.bytes_of, stage.after)) >= _DEAR_BYTES:
-            return self._zone_of(inputs)
-        is_last = self.plan.next_on_path(number) is None
-        return self.zone if is_last and self.plan.bytes_of(number) >= _DEAR_BYTES else ''
+        if sum(map(self.plan.total_bytes, stage.after)) >= _COSTLY_BYTES:
+            return self._majority_zone(inputs)
+        is_last = self.plan.slowest_successor(number) is None
+        return (
+            self.server_zone if is_last and self.plan.total_bytes(number) >= _COSTLY_BYTES else ''
+        )
 
-    def _zone_of(self, inputs: tuple[str, ...]) -> str:
+    def _majority_zone(self, inputs: tuple[str, ...]) -> str:
         """Return where most inputs are."""
-        found = collections.Counter(self.zones.get(maker_of(handle), '') for handle in inputs)
+        found = collections.Counter(
+            self.zone_by_address.get(maker_of(handle), '') for handle in inputs
+        )
         found.pop('', None)
         return found.most_common(1)[0][0] if found else ''
 
     def _expiry_of_inputs(self, stage: RouteStage) -> float:
         """Return when inputs that are dear to make again are given up."""
-        if sum(map(self.plan.bytes_of, stage.after)) < _DEAR_BYTES:
+        if sum(map(self.plan.total_bytes, stage.after)) < _COSTLY_BYTES:
             return math.inf
         return min(map(self._expiry_of, stage.after))
 
     def _expiry_of(self, number: int) -> float:
         """Return when the first result of a stage is given up by its maker."""
         service = self.table.services.get(self.stages[number].service)
-        if number not in self.made_at or service is None or service.batching is None:
+        if number not in self.completed_at or service is None or service.batching is None:
             return math.inf
         # The first of its pieces may have been made a call before the last.
-        return self.made_at[number] + service.batching.keep_s - service.batching.call_s
+        return self.completed_at[number] + service.batching.keep_s - service.batching.call_s
 
 
 def has_stages(route: Route, pieces: tuple[int, ...]) -> bool:
--- a/ringseam/gateway/stages/jobs.py
+++ b/ringseam/gateway/stages/jobs.py
@@ -61,7 +61,7 @@
     """The pieces of one job; their results are of use together only."""
 
     #: Whether a piece has left, so that a result takes up room until all have.
-    begun: bool = False
+    started: bool = False
 
 
 @dataclass(kw_only=True, eq=False)
@@ -70,10 +70,10 @@
 
     job: PieceJob
     number: int
-    order: int
+    arrival: int
     group: PieceGroup = field(default_factory=PieceGroup)
     tries: int = 0
-    avoid: set[BackendId] = field(default_factory=set)
+    failed_servers: set[BackendId] = field(default_factory=set)
 
 
 @dataclass(kw_only=True, eq=False)
--- a/ringseam/gateway/stages/order.py
+++ b/ringseam/gateway/stages/order.py
@@ -18,13 +18,13 @@
 
 #: A piece whose inputs are given up within this time goes first, seconds: a call
 #: under way and one of its own.
-_EXPIRY_S = 1.2
+_EXPIRY_MARGIN_S = 1.2
 #: A piece goes to another zone when fewer whole calls than this fit before it is
 #: due: its own.
-_PATIENCE_CALLS = 1.0
+_MIN_SPARE_CALLS = 1.0
 
 
-class Turn(enum.IntEnum):
+class DispatchClass(enum.IntEnum):
     """In which turn a piece goes, whatever its rank."""
 
     #: It is begun, or about to lose its inputs.
@@ -34,7 +34,7 @@
     late = 3
 
 
-def beyond_next_calls(
+def overflow_pieces(
     ordered: list[Piece],
     servers: Collection[BackendReport],
     spec: BatchSpec,
@@ -43,34 +43,34 @@
 
     They fill calls of other zones: a call takes its time whatever its size.
     """
-    reached = collections.Counter(server.zone for server in servers)
-    left = {zone: count * spec.slots * spec.batch for zone, count in reached.items()}
-    beyond = set()
+    servers_by_zone = collections.Counter(server.zone for server in servers)
+    remaining = {zone: count * spec.slots * spec.batch for zone, count in servers_by_zone.items()}
+    overflow = set()
     for piece in ordered:
         zone = piece.job.zone
-        if zone not in left:
+        if zone not in remaining:
             continue
-        if left[zone] > 0:
-            left[zone] -= 1
+        if remaining[zone] > 0:
+            remaining[zone] -= 1
         else:
-            beyond.add(piece)
-    return beyond
+            overflow.add(piece)
+    return overflow
 
 
-def may_leave(piece: Piece, spec: BatchSpec, now: float) -> bool:
+def may_leave_zone(piece: Piece, spec: BatchSpec, now: float) -> bool:
     """Return whether a piece may leave its zone, whose server is busy.
 
     Results that cross zones are dear, so a piece waits for its own zone while
     it has the time for some more calls there; the dearest requests don't wait.
     """
     job = piece.job
-    if piece.avoid or priority_of(job.rank) == 0:
+    if piece.failed_servers or priority_of(job.rank) == 0:
         return True
-    spare = job.due - now - _PATIENCE_CALLS * spec.whole_call_s
+    spare = job.due - now - _MIN_SPARE_CALLS * spec.whole_call_s
     return spare < 0 < job.due - now
 
 
-def in_order(waiting: Collection[Piece], now: float) -> list[Piece]:
+def dispatch_order(waiting: Collection[Piece], now: float) -> list[Piece]:
     """Return pieces in the order in which they leave.
 
     What is begun goes first, then what can be on time, by worth. A job that is begun
@@ -86,25 +86,25 @@
     for one in waiting:
         groups.setdefault(one.group, []).append(one)
     ordered = sorted(groups.values(), key=lambda pieces: _urgency(pieces[0], now))
-    return [piece for pieces in ordered for piece in sorted(pieces, key=_number)]
+    return [piece for pieces in ordered for piece in sorted(pieces, key=_piece_number)]
 
 
-def _number(piece: Piece) -> int:
+def _piece_number(piece: Piece) -> int:
     return piece.number
 
 
 def _urgency(piece: Piece, now: float) -> tuple[int, Precedence, float, str, int]:
     job = piece.job
-    return (turn_of(piece, now), job.precedence, job.due, job.attempt_id, piece.order)
+    return (dispatch_class_of(piece, now), job.precedence, job.due, job.attempt_id, piece.arrival)
 
 
-def turn_of(piece: Piece, now: float) -> Turn:
+def dispatch_class_of(piece: Piece, now: float) -> DispatchClass:
     """Return in which turn a piece goes, whatever its rank."""
     job = piece.job
     late = job.due < now
-    expiring = job.expires - now < _EXPIRY_S
-    if piece.group.begun or (expiring and not late):
-        return Turn.first
+    expiring = job.expires - now < _EXPIRY_MARGIN_S
+    if piece.group.started or (expiring and not late):
+        return DispatchClass.first
     if not late:
-        return Turn.in_time
-    return Turn.late_and_expiring if expiring else Turn.late
+        return DispatchClass.in_time
+    return DispatchClass.late_and_expiring if expiring else DispatchClass.late
--- a/ringseam/gateway/stages/plan.py
+++ b/ringseam/gateway/stages/plan.py
@@ -11,12 +11,12 @@
 #: From a request's arrival at an idle engine to its first event, seconds.
 FIRST_EVENT_S = 0.1
 #: A stage takes this many times its call: pieces wait for a call under way.
-_WAIT_AND_CALL = 1.5
+_QUEUEING_FACTOR = 1.5
 #: A branch of the graph begins when the longest one has this many times the
 #: branch's own time left. Results that are ready early take up room at their
 #: maker until the slowest stage is done, and are lost when that takes seconds;
 #: so it may rather be a little late.
-_BRANCH_LEAD = 0.75
+_BRANCH_START_FACTOR = 0.75
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -28,14 +28,14 @@
     counts: tuple[int, ...]
     services: dict[ServiceName, BackendService]
 
-    def pieces_of(self, number: int) -> int:
+    def piece_count(self, number: int) -> int:
         """Return how many pieces a stage has."""
         counts = self.counts
         return counts[number] if number < len(counts) else 0
 
-    def bytes_of(self, number: int) -> int:
+    def total_bytes(self, number: int) -> int:
         """Return the bytes of all results of a stage."""
-        return self.stages[number].result_bytes * self.pieces_of(number)
+        return self.stages[number].result_bytes * self.piece_count(number)
 
     def call_s(self, number: int) -> float:
         """Return how long a stage's call takes, seconds."""
@@ -43,48 +43,48 @@
         if service is None or service.batching is None:
             return 0
         spec = service.batching
-        return spec.call_s + spec.piece_s * min(spec.batch, self.pieces_of(number))
+        return spec.call_s + spec.piece_s * min(spec.batch, self.piece_count(number))
 
     def stage_s(self, number: int) -> float:
         """Return how long a stage takes with the usual wait, seconds."""
-        return _WAIT_AND_CALL * self.call_s(number)
+        return _QUEUEING_FACTOR * self.call_s(number)
 
-    def later_s(self, number: int) -> float:
+    def remaining_s(self, number: int) -> float:
         """Return what the longest path after a stage will take."""
         longest: float = 0
         for later, stage in enumerate(self.stages):
-            if number in stage.after and self.pieces_of(later):
-                longest = max(longest, self.stage_s(later) + self.later_s(later))
+            if number in stage.after and self.piece_count(later):
+                longest = max(longest, self.stage_s(later) + self.remaining_s(later))
         return longest
 
     def path_s(self, number: int) -> float:
         """Return what a stage and the longest path after it take, seconds."""
-        if not self.pieces_of(number):
+        if not self.piece_count(number):
             return 0
-        return self.stage_s(number) + self.later_s(number)
+        return self.stage_s(number) + self.remaining_s(number)
 
-    def least_s(self, number: int) -> float:
+    def min_remaining_s(self, number: int) -> float:
         """Return what the rest of a request takes after a stage without waiting."""
-        return self.later_s(number) / _WAIT_AND_CALL + FIRST_EVENT_S
+        return self.remaining_s(number) / _QUEUEING_FACTOR + FIRST_EVENT_S
 
-    def next_on_path(self, number: int) -> int | None:
+    def slowest_successor(self, number: int) -> int | None:
         """Return the stage after ``number`` that takes longest to the end."""
-        followers = [
+        successors = [
             later
             for later, stage in enumerate(self.stages)
-            if number in stage.after and self.pieces_of(later)
+            if number in stage.after and self.piece_count(later)
         ]
-        return max(followers, key=self.path_s, default=None)
+        return max(successors, key=self.path_s, default=None)
 
-    def last_stages(self) -> list[int]:
+    def final_stages(self) -> list[int]:
         """Return the stages with pieces that no other such stage follows."""
         return [
             number
             for number in range(len(self.stages))
-            if self.pieces_of(number) and self.next_on_path(number) is None
+            if self.piece_count(number) and self.slowest_successor(number) is None
         ]
 
-    def paced_by(self, number: int) -> tuple[int, ...]:
+    def start_after(self, number: int) -> tuple[int, ...]:
         """Return the stages whose end a stage without inputs waits for.
 
         Only a branch that is shorter than the longest one waits; its results
@@ -92,24 +92,24 @@
         """
         if self.stages[number].after:
             return ()
-        needed = _BRANCH_LEAD * self.path_s(number)
+        needed = _BRANCH_START_FACTOR * self.path_s(number)
         slowest = max(range(len(self.stages)), key=self.path_s)
-        paced: tuple[int, ...] = ()
-        following = self.next_on_path(slowest)
-        while following is not None and self.path_s(following) >= needed:
-            paced = (slowest,)
-            slowest, following = following, self.next_on_path(following)
-        return paced
-
-    def sole_maker(self, number: int) -> str:
+        awaited: tuple[int, ...] = ()
+        successor = self.slowest_successor(slowest)
+        while successor is not None and self.path_s(successor) >= needed:
+            awaited = (slowest,)
+            slowest, successor = successor, self.slowest_successor(successor)
+        return awaited
+
+    def sole_input_service(self, number: int) -> str:
         """Return the service of a stage's inputs if only this stage needs them."""
         stages = self.stages
         stage = stages[number]
         if len(stage.after) != 1:
             return ''
-        users = [
+        consumers = [
             later
             for later, other in enumerate(stages)
-            if stage.after[0] in other.after and self.pieces_of(later)
+            if stage.after[0] in other.after and self.piece_count(later)
         ]
-        return stages[stage.after[0]].service if users == [number] else ''
+        return stages[stage.after[0]].service if consumers == [number] else ''
--- a/ringseam/gateway/stages/scheduler.py
+++ b/ringseam/gateway/stages/scheduler.py
@@ -10,12 +10,17 @@
 import msgspec
 
 from ringseam.clock import MS_PER_S
-from ringseam.gateway.stages.batching import FULL_S, Batcher
-from ringseam.gateway.stages.calllog import PieceLog
+from ringseam.gateway.stages.batching import FULL_BACKOFF_S, Batcher
+from ringseam.gateway.stages.calllog import CallLog
 from ringseam.gateway.stages.calls import FullError
+from ringseam.gateway.stages.capacity import UNKNOWN_USAGE_S
 from ringseam.gateway.stages.messages import Waits
-from ringseam.gateway.stages.rooms import UNKNOWN_S
-from ringseam.gateway.stages.waiters import CallEnd, CallFailure, JobResults, ServicePieces
+from ringseam.gateway.stages.servicestate import (
+    CallFailure,
+    CallFailureKind,
+    JobResults,
+    ServiceState,
+)
 from ringseam.gateway.worth import Precedence
 from ringseam.platform.stages import PieceFault, PieceResult, maker_of
 from ringseam.retries import Retry
@@ -37,7 +42,7 @@
         PieceJob,
         StageCall,
     )
-    from ringseam.gateway.stages.outlook import Outlook
+    from ringseam.gateway.stages.waitestimate import WaitEstimate
     from ringseam.node import Node
     from ringseam.retries import RetryPolicy
     from ringseam.routes import BatchSpec
@@ -45,26 +50,26 @@
 logger = logging.getLogger(__name__)
 
 #: A piece is given up after this many servers.
-_PIECE_TRIES = 3
+_MAX_PIECE_TRIES = 3
 #: A call is given up after this many times the expected length and a while.
-_CALL_PATIENCE = 4.0
-_CALL_PATIENCE_S = 0.6
+_CALL_TIMEOUT_FACTOR = 4.0
+_CALL_TIMEOUT_MARGIN_S = 0.6
 #: A server has fetched the inputs of a call this long after it was sent,
 #: seconds: megabytes take milliseconds at the links' speed.
-FETCH_S = 0.06
+INPUT_FETCH_S = 0.06
 #: Results that are given up within this time are named to their maker together,
 #: seconds; their room is missed while they wait.
-_RELEASE_S = 0.01
+_RELEASE_BATCH_S = 0.01
 _RELEASE_TIMEOUT_S = 1.0
 #: The same at a server that names a limit, seconds: each is a request that it takes.
-_RELEASE_LIMITED_S = 2.0
+_RELEASE_BATCH_LIMITED_S = 2.0
 #: Timers may fire this early, seconds.
-_TURN_MARGIN_S = 0.001
+_TIMER_MARGIN_S = 0.001
 #: What waits is counted anew after this, seconds: well within a call.
-_OUTLOOK_S = 0.02
+_ESTIMATE_TTL_S = 0.02
 #: Pieces that can't be in time are looked for this often, seconds: not with each decision,
 #: as all that waits is looked at.
-_LOOK_S = 0.05
+_SHED_INTERVAL_S = 0.05
 
 
 class PieceScheduler:  # noqa: WPS214 - the driver of all batches
@@ -90,85 +95,85 @@
         self.guard = guard
         self.ownership = ownership
         self.pace = pace
-        self.log = PieceLog(node=node)
-        self.services: dict[ServiceName, ServicePieces] = {}
+        self.log = CallLog(node=node)
+        self.services: dict[ServiceName, ServiceState] = {}
         self.tasks = TaskSet()
         #: Set, and replaced, whenever servers, routes or gateways change.
         self.changed = asyncio.Event()
         #: Gives up inputs; the facade over all gateways knows their owners.
-        self.give_up: Callable[[ServiceName, tuple[str, ...]], None] = self.release
+        self.release_inputs: Callable[[ServiceName, tuple[str, ...]], None] = self.release
 
-    async def make(self, job: PieceJob) -> list[PieceResult]:
+    async def run(self, job: PieceJob) -> list[PieceResult]:
         """Return a result for each piece of a job."""
         if job.deadline <= self.node.clock.now():
             return [PieceResult(fault=PieceFault.late) for _ in job.pieces]
-        works = self._works(job.service)
-        pieces = works.batcher.add(job, self.node.clock.now())
-        wanted = JobResults(pieces=pieces)
-        works.waiters.update(dict.fromkeys(pieces, wanted))
+        state = self._state(job.service)
+        pieces = state.batcher.add(job, self.node.clock.now())
+        job_results = JobResults(pieces=pieces)
+        state.waiters.update(dict.fromkeys(pieces, job_results))
         self.retries.requested(job.service, self.node.clock.now())
         self._dispatch(job.service)
         try:
             async with asyncio.timeout(max(0, job.deadline - self.node.clock.now())):
-                await wanted.whole
+                await job_results.completed
         except asyncio.TimeoutError:
-            self._abandon(works, wanted)
+            self._abandon(state, job_results)
             return [PieceResult(fault=PieceFault.late) for _ in job.pieces]
         except asyncio.CancelledError:
-            self._abandon(works, wanted)
+            self._abandon(state, job_results)
             raise
         finally:
-            works.batcher.cancel(pieces)
+            state.batcher.cancel(pieces)
             for piece in pieces:
-                works.waiters.pop(piece, None)
-        return wanted.in_order()
+                state.waiters.pop(piece, None)
+        return job_results.ordered()
 
     def release(self, service: ServiceName, handles: tuple[str, ...]) -> None:
         """Tell makers, soon, that results are given up."""
-        works = self._works(service)
+        state = self._state(service)
         for handle in handles:
             maker = maker_of(handle)
-            if maker not in works.released:
-                works.released[maker] = []
-                self.tasks.spawn(self._release_soon(works, maker))
-            works.released[maker].append(handle)
+            if maker not in state.pending_releases:
+                state.pending_releases[maker] = []
+                self.tasks.spawn(self._release_batched(state, maker))
+            state.pending_releases[maker].append(handle)
 
     def refresh(self) -> None:
         """Look again: servers, routes or gateways have changed."""
-        for service, works in self.services.items():
-            works.batcher.keep_only({server.instance for server in self._servers(service)})
+        for service, state in self.services.items():
+            state.batcher.keep_only({server.instance for server in self._servers(service)})
             self._dispatch(service)
         self.changed.set()
         self.changed = asyncio.Event()
 
     def wait_s(self, service: ServiceName, precedence: Precedence) -> float:
         """Return how long a new piece would wait here, seconds."""
-        return self._outlook(service).wait_s(precedence)
+        return self._estimate(service).wait_s(precedence)
 
     def waits(self, service: ServiceName) -> Waits:
         """Return how long new pieces would wait, and how long all that waits takes."""
-        outlook = self._outlook(service)
-        first = {known.rank for known in outlook.ahead if not known.returned} | {0}
-        again = {known.rank for known in outlook.ahead if known.returned} | {0}
+        estimate = self._estimate(service)
+        first = {known.rank for known in estimate.counts_by_precedence if not known.returned} | {0}
+        again = {known.rank for known in estimate.counts_by_precedence if known.returned} | {0}
         return Waits(
             first_ms={
-                rank: int(MS_PER_S * outlook.wait_s(Precedence(rank=rank))) for rank in first
+                rank: int(MS_PER_S * estimate.wait_s(Precedence(rank=rank))) for rank in first
             },
             again_ms={
-                rank: int(MS_PER_S * outlook.wait_s(Precedence(rank=rank, returned=True)))
+                rank: int(MS_PER_S * estimate.wait_s(Precedence(rank=rank, returned=True)))
                 for rank in again
             },
-            backlog_ms=int(MS_PER_S * outlook.backlog_s),
+            backlog_ms=int(MS_PER_S * estimate.backlog_s),
         )
 
     def backlog_s(self, service: ServiceName) -> float:
         """Return how long all that waits here takes to leave, seconds."""
-        return self._outlook(service).backlog_s
+        return self._estimate(service).backlog_s
 
     @property
     def in_flight(self) -> int:
         """Return how many pieces are waited for here."""
-        return sum(len(works.waiters) for works in self.services.values())
+        return sum(len(state.waiters) for state in self.services.values())
 
     # -- calls --------------------------------------------------------------
 
@@ -177,96 +182,96 @@
         spec = self._spec(service)
         if spec is None:
             return
-        works = self._works(service)
+        state = self._state(service)
         now = self.node.clock.now()
-        call = works.batcher.next_call(self._servers(service), spec, now)
+        call = state.batcher.next_call(self._servers(service), spec, now)
         while call is not None:
-            if self._admits(works, call):
-                self.tasks.spawn(self._call(works, call, spec))
-            call = works.batcher.next_call(self._servers(service), spec, now)
-        self._dispatch_at_turn(works, now)
-        if now >= works.look_at:
-            works.look_at = now + _LOOK_S
-            for piece in works.batcher.hopeless(self._servers(service), spec, now):
-                works.batcher.cancel([piece])
-                works.resolve(piece, PieceResult(fault=PieceFault.late))
-
-    def _dispatch_at_turn(self, works: ServicePieces, now: float) -> None:
+            if self._remove_quarantined(state, call):
+                self.tasks.spawn(self._call(state, call, spec))
+            call = state.batcher.next_call(self._servers(service), spec, now)
+        self._schedule_next_turn(state, now)
+        if now >= state.next_shed_at:
+            state.next_shed_at = now + _SHED_INTERVAL_S
+            for piece in state.batcher.pieces_to_shed(self._servers(service), spec, now):
+                state.batcher.cancel([piece])
+                state.resolve(piece, PieceResult(fault=PieceFault.late))
+
+    def _schedule_next_turn(self, state: ServiceState, now: float) -> None:
         """Look again when a server has a turn, or its pause ends, if pieces wait for it."""
-        if not works.batcher.waiting or works.turn_at > now:
+        if not state.batcher.waiting or state.next_turn_at > now:
             return
-        service = works.batcher.service
+        service = state.batcher.service
         servers = (server.instance for server in self._servers(service))
         waits = [wait_s for one in servers if (wait_s := self.pace.call_wait_s(one, now))]
         if waits:
-            works.turn_at = now + min(waits)
+            state.next_turn_at = now + min(waits)
             loop = asyncio.get_running_loop()
-            loop.call_later(min(waits) + _TURN_MARGIN_S, self._dispatch, service)
+            loop.call_later(min(waits) + _TIMER_MARGIN_S, self._dispatch, service)
 
-    def _admits(self, works: ServicePieces, call: StageCall) -> bool:
+    def _remove_quarantined(self, state: ServiceState, call: StageCall) -> bool:
         """Take out pieces whose content ends servers; False when none are left.
 
         A verdict may have fallen while they waited.
         """
-        held_back = [
+        quarantined = [
             piece
             for piece in call.pieces
             if not self.guard.may_make(piece.job.suspect.content, trial_at=piece.job.trial_at)
         ]
-        for piece in held_back:
-            works.batcher.withdraw(call, piece)
-            works.resolve(piece, PieceResult(fault=PieceFault.error))
+        for piece in quarantined:
+            state.batcher.remove_from_call(call, piece)
+            state.resolve(piece, PieceResult(fault=PieceFault.error))
         if not call.pieces:
-            works.batcher.ended(call)
+            state.batcher.call_ended(call)
         return bool(call.pieces)
 
-    async def _call(self, works: ServicePieces, call: StageCall, spec: BatchSpec) -> None:
+    async def _call(self, state: ServiceState, call: StageCall, spec: BatchSpec) -> None:
         started = self.node.clock.now()
-        self.log.sent(works.batcher, call)
+        self.log.sent(state.batcher, call)
         loop = asyncio.get_running_loop()
-        fetched = loop.call_later(FETCH_S, self._inputs_fetched, works, call, spec)
+        fetched = loop.call_later(INPUT_FETCH_S, self._release_fetched_inputs, state, call, spec)
         # The last of the pieces' deadlines bounds the call.
-        longest = max(piece.job.deadline for piece in call.pieces) - started
-        limit = min(call.expected_s * _CALL_PATIENCE + _CALL_PATIENCE_S, longest)
-        made = await self._attempt(call, max(0, limit))
+        longest_s = max(piece.job.deadline for piece in call.pieces) - started
+        timeout_s = min(call.expected_s * _CALL_TIMEOUT_FACTOR + _CALL_TIMEOUT_MARGIN_S, longest_s)
+        outcome = await self._attempt(call, max(0, timeout_s))
         fetched.cancel()
-        works.batcher.ended(call)
+        state.batcher.call_ended(call)
         now = self.node.clock.now()
-        if isinstance(made, CallFailure):
+        if isinstance(outcome, CallFailure):
             # A call that ended with its pieces' time says nothing of its server.
-            if now < started + longest:
-                self._judge(works, call, made.end)
-            self._take_failure(works, call, made.detail)
+            if now < started + longest_s:
+                self._record_failure(state, call, outcome.kind)
+            self._handle_failure(state, call, outcome.detail)
         else:
             self.health.succeeded(call.server.instance, now)
             ratio = (now - started) / call.expected_s
             self.health.compared(call.server.instance, ratio, now)
-            self._take_results(works, call, made, spec)
-        self._dispatch(works.batcher.service)
+            self._handle_results(state, call, outcome, spec)
+        self._dispatch(state.batcher.service)
 
     async def _attempt(self, call: StageCall, limit_s: float) -> list[PieceResult] | CallFailure:
         """Return what a call made, or how it failed."""
         for piece in call.pieces:
-            self.guard.ends.sent(call.server, _name_of(piece), piece.job.suspect)
+            self.guard.ends.sent(call.server, _piece_id(piece), piece.job.suspect)
         try:
             async with asyncio.timeout(limit_s):
                 return await self.calls.run(call)
         except FullError as error:
-            return CallFailure(end=CallEnd.full, detail=str(error))
+            return CallFailure(kind=CallFailureKind.full, detail=str(error))
         except ChannelError as error:
             if error.sent:
                 await self.guard.ends.broke(call.server)
-            end = CallEnd.broken if error.sent else CallEnd.unsent
-            return CallFailure(end=end, detail=str(error))
+            kind = CallFailureKind.broken if error.sent else CallFailureKind.unsent
+            return CallFailure(kind=kind, detail=str(error))
         except (msgspec.MsgspecError, asyncio.TimeoutError) as error:
-            in_vain = isinstance(error, asyncio.TimeoutError)
-            end = CallEnd.unanswered if in_vain else CallEnd.broken
-            return CallFailure(end=end, detail=f'{type(error).__name__} {error}')
+            timed_out = isinstance(error, asyncio.TimeoutError)
+            kind = CallFailureKind.unanswered if timed_out else CallFailureKind.broken
+            return CallFailure(kind=kind, detail=f'{type(error).__name__} {error}')
         finally:
             for piece in call.pieces:
-                self.guard.ends.over(call.server, _name_of(piece))
+                self.guard.ends.over(call.server, _piece_id(piece))
 
-    def _judge(self, works: ServicePieces, call: StageCall, end: CallEnd) -> None:
+    def _record_failure(self, state: ServiceState, call: StageCall, kind: CallFailureKind) -> None:
         """Count a failed call against its server.
 
         One that can't be connected to is left at once. One call that broke or
@@ -274,16 +279,18 @@
         sound servers too, and the others can't carry the load without them.
         """
         now = self.node.clock.now()
-        if end is CallEnd.full:
+        if kind is CallFailureKind.full:
             # It works for another gateway, be it for one that is just gone.
-            works.batcher.full_until[call.server.instance] = now + FULL_S
-        elif end is CallEnd.unanswered:
+            state.batcher.full_until[call.server.instance] = now + FULL_BACKOFF_S
+        elif kind is CallFailureKind.unanswered:
             self.health.fell_silent(call.server.instance, now)
         else:
-            hard = end is CallEnd.unsent
+            hard = kind is CallFailureKind.unsent
             self.health.failed(call.server.instance, now, hard=hard)
 
-    def _inputs_fetched(self, works: ServicePieces, call: StageCall, spec: BatchSpec) -> None:
+    def _release_fetched_inputs(
+        self, state: ServiceState, call: StageCall, spec: BatchSpec
+    ) -> None:
         """Give up inputs once all pieces that need them have fetched them.
 
         A call's inputs are fetched when its turn comes, and calls are sent to
@@ -291,52 +298,52 @@
         same servers, and a server that is nearly full may refuse the last pieces;
         the inputs of those are kept until the call has been answered.
         """
-        if not self.ownership.is_settled(works.batcher.service, self.node.clock.now()):
+        if not self.ownership.is_settled(state.batcher.service, self.node.clock.now()):
             return
-        room = works.batcher.rooms.sure_bytes(call, spec)
-        here: collections.Counter[PieceJob] = collections.Counter()
+        free_bytes = state.batcher.capacity.guaranteed_bytes(call, spec)
+        fitting: collections.Counter[PieceJob] = collections.Counter()
         for piece in call.pieces:
-            room -= piece.job.result_bytes
-            if room < 0:
+            free_bytes -= piece.job.result_bytes
+            if free_bytes < 0:
                 break
-            here[piece.job] += 1
-        for job, count in here.items():
+            fitting[piece.job] += 1
+        for job, count in fitting.items():
             if job.inputs_of and count == len(job.pieces):
-                self.give_up(ServiceName(job.inputs_of), job.inputs)
+                self.release_inputs(ServiceName(job.inputs_of), job.inputs)
 
-    def _take_results(
+    def _handle_results(
         self,
-        works: ServicePieces,
+        state: ServiceState,
         call: StageCall,
-        made: list[PieceResult],
+        piece_results: list[PieceResult],
         spec: BatchSpec,
     ) -> None:
-        if any(piece.fault is not None for piece in made):
-            self.log.refused(works.batcher, call, made)
+        if any(result.fault is not None for result in piece_results):
+            self.log.refused(state.batcher, call, piece_results)
         failed: list[Piece] = []
-        crowded: list[Piece] = []
+        without_capacity: list[Piece] = []
         loop = asyncio.get_running_loop()
-        for piece, outcome in zip(call.pieces, made, strict=True):
-            if outcome.handle:
-                works.keep(outcome.handle, call.server.instance, piece.job.result_bytes)
-                loop.call_later(spec.keep_s, works.forget, outcome.handle)
-                self._resolve(works, piece, outcome)
-            elif outcome.fault is PieceFault.room:
-                crowded.append(piece)
-            elif outcome.fault is PieceFault.error:
+        for piece, result in zip(call.pieces, piece_results, strict=True):
+            if result.handle:
+                state.add_result(result.handle, call.server.instance, piece.job.result_bytes)
+                loop.call_later(spec.keep_s, state.remove_result, result.handle)
+                self._resolve(state, piece, result)
+            elif result.fault is PieceFault.room:
+                without_capacity.append(piece)
+            elif result.fault is PieceFault.error:
                 failed.append(piece)
             else:
-                self._resolve(works, piece, outcome)
-        self._wait_for_room(works, crowded, call, spec)
-        self._try_again(works, failed, call)
+                self._resolve(state, piece, result)
+        self._requeue_for_capacity(state, without_capacity, call, spec)
+        self._retry(state, failed, call)
 
-    def _take_failure(self, works: ServicePieces, call: StageCall, detail: str) -> None:
+    def _handle_failure(self, state: ServiceState, call: StageCall, detail: str) -> None:
         self.log.lost(call, detail)
-        self._try_again(works, call.pieces, call)
+        self._retry(state, call.pieces, call)
         loop = asyncio.get_running_loop()
-        loop.call_later(FULL_S, self._dispatch, works.batcher.service)
+        loop.call_later(FULL_BACKOFF_S, self._dispatch, state.batcher.service)
 
-    def _try_again(self, works: ServicePieces, pieces: list[Piece], call: StageCall) -> None:
+    def _retry(self, state: ServiceState, pieces: list[Piece], call: StageCall) -> None:
         """Have pieces made once more, if the budget allows.
 
         A request draws on the budget once, whatever the number of its pieces.
@@ -344,88 +351,88 @@
         allowed: dict[str, bool] = {}
         for piece in pieces:
             request = piece.job.attempt_id
-            if request not in allowed and piece in works.waiters:
-                retry = Retry(service=works.batcher.service, now=self.node.clock.now())
+            if request not in allowed and piece in state.waiters:
+                retry = Retry(service=state.batcher.service, now=self.node.clock.now())
                 allowed[request] = self.retries.may_retry(retry)
-            if piece.tries + 1 < _PIECE_TRIES and allowed.get(request):
-                works.batcher.again(piece, call.server.instance)
+            if piece.tries + 1 < _MAX_PIECE_TRIES and allowed.get(request):
+                state.batcher.requeue_after_failure(piece, call.server.instance)
             else:
-                works.resolve(piece, PieceResult(fault=PieceFault.error))
+                state.resolve(piece, PieceResult(fault=PieceFault.error))
 
-    def _wait_for_room(
+    def _requeue_for_capacity(
         self,
-        works: ServicePieces,
+        state: ServiceState,
         pieces: list[Piece],
         call: StageCall,
         spec: BatchSpec,
     ) -> None:
         now = self.node.clock.now()
         for piece in pieces:
-            if piece in works.waiters:
-                works.batcher.found_full(piece, call.server.instance, spec, now)
+            if piece in state.waiters:
+                state.batcher.requeue_full(piece, call.server.instance, spec, now)
         if pieces:
             loop = asyncio.get_running_loop()
-            loop.call_later(FULL_S, self._dispatch, works.batcher.service)
-            loop.call_later(UNKNOWN_S, self._dispatch, works.batcher.service)
+            loop.call_later(FULL_BACKOFF_S, self._dispatch, state.batcher.service)
+            loop.call_later(UNKNOWN_USAGE_S, self._dispatch, state.batcher.service)
 
-    def _resolve(self, works: ServicePieces, piece: Piece, made: PieceResult) -> None:
-        if not works.resolve(piece, made) and made.handle:
+    def _resolve(self, state: ServiceState, piece: Piece, result: PieceResult) -> None:
+        if not state.resolve(piece, result) and result.handle:
             # Nobody waits any more: let its maker have the room back.
-            self.release(works.batcher.service, (made.handle,))
+            self.release(state.batcher.service, (result.handle,))
 
-    def _abandon(self, works: ServicePieces, wanted: JobResults) -> None:
+    def _abandon(self, state: ServiceState, job_results: JobResults) -> None:
         """Give up what was made for a job that nobody waits for any more."""
-        wanted.whole.cancel()
-        handles = tuple(made.handle for made in wanted.made.values() if made.handle)
-        self.release(works.batcher.service, handles)
+        job_results.completed.cancel()
+        handles = tuple(result.handle for result in job_results.by_piece.values() if result.handle)
+        self.release(state.batcher.service, handles)
 
-    async def _release_soon(self, works: ServicePieces, maker: str) -> None:
+    async def _release_batched(self, state: ServiceState, maker: str) -> None:
         """Give results up together; their room counts as free once that is done."""
-        await asyncio.sleep(self._release_wait_s(works, maker))
-        handles = works.released.pop(maker, [])
+        await asyncio.sleep(self._release_wait_s(state, maker))
+        handles = state.pending_releases.pop(maker, [])
         try:
             async with asyncio.timeout(_RELEASE_TIMEOUT_S):
-                await self.calls.release(maker, works.maker_of(handles), handles)
+                await self.calls.release(maker, state.server_of(handles), handles)
         except (ChannelError, asyncio.TimeoutError) as error:
             # The maker gives results up by itself after a while.
             logger.debug('results not released: %s', error)
             return
         for handle in handles:
-            works.forget(handle)
-        self._dispatch(works.batcher.service)
+            state.remove_result(handle)
+        self._dispatch(state.batcher.service)
 
-    def _release_wait_s(self, works: ServicePieces, maker: str) -> float:
+    def _release_wait_s(self, state: ServiceState, maker: str) -> float:
         """Return how long results are gathered, seconds.
 
         Longer for a server that names a limit, and until the end of a pause.
         """
-        instance = works.maker_of(works.released[maker])
+        instance = state.server_of(state.pending_releases[maker])
         now = self.node.clock.now()
         if self.pace.limits.of(instance) is None:
-            return max(_RELEASE_S, self.pace.pauses.left_s(instance, now))
-        last_at = works.released_at.get(instance, float('-inf'))
+            return max(_RELEASE_BATCH_S, self.pace.pauses.left_s(instance, now))
+        last_at = state.released_at.get(instance, float('-inf'))
         pause_s = self.pace.pauses.left_s(instance, now)
-        released_at = max(now + max(_RELEASE_S, pause_s), last_at + _RELEASE_LIMITED_S)
-        works.released_at[instance] = released_at
+        released_at = max(now + max(_RELEASE_BATCH_S, pause_s), last_at + _RELEASE_BATCH_LIMITED_S)
+        state.released_at[instance] = released_at
         self.pace.count(instance, released_at)
         return released_at - now
 
     # -- helpers ------------------------------------------------------------
 
-    def _outlook(self, service: ServiceName) -> Outlook:
+    def _estimate(self, service: ServiceName) -> WaitEstimate:
         """Return how long new pieces would wait here, counted a moment ago at most."""
-        works = self._works(service)
+        state = self._state(service)
         now = self.node.clock.now()
         spec = self._spec(service)
-        if spec is not None and now >= works.outlook_until:
-            works.outlook = works.batcher.outlook(self._servers(service), spec, now)
-            works.outlook_until = now + _OUTLOOK_S
-        return works.outlook
+        if spec is not None and now >= state.estimate_until:
+            state.estimate = state.batcher.wait_estimate(self._servers(service), spec, now)
+            state.estimate_until = now + _ESTIMATE_TTL_S
+        return state.estimate
 
-    def _works(self, service: ServiceName) -> ServicePieces:
+    def _state(self, service: ServiceName) -> ServiceState:
         if service not in self.services:
             batcher = Batcher(service=service, health=self.health, pace=self.pace)
-            self.services[service] = ServicePieces(batcher=batcher)
+            self.services[service] = ServiceState(batcher=batcher)
         return self.services[service]
 
     def _servers(self, service: ServiceName) -> list[BackendReport]:
@@ -436,6 +443,6 @@
         return known.batching if known else None
 
 
-def _name_of(piece: Piece) -> str:
+def _piece_id(piece: Piece) -> str:
     """Return what tells a piece from others that are under way."""
     return f'{piece.job.attempt_id}/{piece.job.stage}/{piece.number}'
--- a/ringseam/gateway/stages/waiters.py
+++ b/ringseam/gateway/stages/servicestate.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ringseam.backends import BackendId
-from ringseam.gateway.stages.outlook import Outlook
+from ringseam.gateway.stages.waitestimate import WaitEstimate
 from ringseam.platform.stages import PieceFault, PieceResult
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
     from ringseam.gateway.stages.jobs import Piece
 
 
-class CallEnd(enum.Enum):
+class CallFailureKind(enum.Enum):
     """How a call without results ended."""
 
     full = 'full'
@@ -29,7 +29,7 @@
 class CallFailure:
     """A call that made nothing."""
 
-    end: CallEnd
+    kind: CallFailureKind
     detail: str
 
 
@@ -39,61 +39,61 @@
     def __init__(self, *, pieces: list[Piece]) -> None:
         """Wait for ``pieces`` in the running loop."""
         self.pieces = pieces
-        self.made: dict[Piece, PieceResult] = {}
-        self.whole: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.by_piece: dict[Piece, PieceResult] = {}
+        self.completed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def take(self, piece: Piece, made: PieceResult) -> bool:
+    def add(self, piece: Piece, result: PieceResult) -> bool:
         """Take in what was made; False when that is known or nobody waits."""
-        if piece in self.made or self.whole.done():
+        if piece in self.by_piece or self.completed.done():
             return False
-        self.made[piece] = made
-        if len(self.made) == len(self.pieces):
-            self.whole.set_result(None)
+        self.by_piece[piece] = result
+        if len(self.by_piece) == len(self.pieces):
+            self.completed.set_result(None)
         return True
 
-    def in_order(self) -> list[PieceResult]:
+    def ordered(self) -> list[PieceResult]:
         """Return what was made; pieces that weren't are late."""
         late = PieceResult(fault=PieceFault.late)
-        return [self.made.get(piece, late) for piece in self.pieces]
+        return [self.by_piece.get(piece, late) for piece in self.pieces]
 
 
 @dataclass(kw_only=True)
-class ServicePieces:
+class ServiceState:
     """One service's batches here, and who waits for each piece."""
 
     batcher: Batcher
     waiters: dict[Piece, JobResults] = field(default_factory=dict)
     #: Handles that their makers have not yet been told of.
-    released: dict[str, list[str]] = field(default_factory=dict)
+    pending_releases: dict[str, list[str]] = field(default_factory=dict)
     #: When servers that name a limit were last told, or will be.
     released_at: dict[BackendId, float] = field(default_factory=dict)
     #: When pieces are next looked at because a server has a turn.
-    turn_at: float = float('-inf')
+    next_turn_at: float = float('-inf')
     #: How long new pieces would wait, and until when that is told as it is.
-    outlook: Outlook = field(default_factory=Outlook)
-    outlook_until: float = float('-inf')
+    estimate: WaitEstimate = field(default_factory=WaitEstimate)
+    estimate_until: float = float('-inf')
     #: When pieces are next looked through for those that can't be in time.
-    look_at: float = float('-inf')
+    next_shed_at: float = float('-inf')
     #: Results that take up room: the server and the bytes of each.
-    kept: dict[str, tuple[BackendId, int]] = field(default_factory=dict)
+    stored: dict[str, tuple[BackendId, int]] = field(default_factory=dict)
 
-    def keep(self, handle: str, instance: BackendId, amount: int) -> None:
+    def add_result(self, handle: str, instance: BackendId, amount: int) -> None:
         """Count a result's room."""
-        self.kept[handle] = (instance, amount)
-        self.batcher.rooms.kept(instance, amount)
+        self.stored[handle] = (instance, amount)
+        self.batcher.capacity.reserve(instance, amount)
 
-    def maker_of(self, handles: list[str]) -> BackendId:
+    def server_of(self, handles: list[str]) -> BackendId:
         """Return the server that made results, all of them the same; empty: not known."""
-        makers = (self.kept[handle][0] for handle in handles if handle in self.kept)
-        return next(makers, BackendId(''))
+        instances = (self.stored[handle][0] for handle in handles if handle in self.stored)
+        return next(instances, BackendId(''))
 
-    def forget(self, handle: str) -> None:
+    def remove_result(self, handle: str) -> None:
         """Count a result's room no more."""
-        instance, amount = self.kept.pop(handle, (BackendId(''), 0))
+        instance, amount = self.stored.pop(handle, (BackendId(''), 0))
         if instance:
-            self.batcher.rooms.freed(instance, amount)
+            self.batcher.capacity.release(instance, amount)
 
-    def resolve(self, piece: Piece, made: PieceResult) -> bool:
+    def resolve(self, piece: Piece, result: PieceResult) -> bool:
         """Give a result to who waits for it; False when nobody does."""
         waiter = self.waiters.get(piece)
-        return waiter is not None and waiter.take(piece, made)
+        return waiter is not None and waiter.add(piece, result)
--- a/ringseam/gateway/stages/flow.py
+++ b/ringseam/gateway/stages/throughput.py
@@ -15,16 +15,16 @@
 
 #: What came longer ago than this counts for a third, seconds: several calls, so
 #: that one clump of requests isn't taken for what will go on.
-_FORGET_S = 5.0
+_DECAY_S = 5.0
 #: Weight of the newest call in the mean of how fast pieces leave.
 _PACE_WEIGHT = 0.1
 #: A call that took this many times its expected length says nothing of the pace:
 #: its answer was lost, or its server is ejected.
-_ODD = 4.0
+_OUTLIER_FACTOR = 4.0
 
 
 @dataclass(kw_only=True)
-class RecentCount:
+class DecayingCounter:
     """An amount that came lately, fading."""
 
     amount: float = 0
@@ -32,29 +32,29 @@
 
     def add(self, amount: float, now: float) -> None:
         """Take in what has come."""
-        self.amount = self._faded(now) + amount
+        self.amount = self._decayed(now) + amount
         self.at = now
 
     def per_s(self, now: float) -> float:
         """Return how much came in a second."""
-        return self._faded(now) / _FORGET_S
+        return self._decayed(now) / _DECAY_S
 
-    def _faded(self, now: float) -> float:
-        return self.amount * math.exp(-(now - self.at) / _FORGET_S)
+    def _decayed(self, now: float) -> float:
+        return self.amount * math.exp(-(now - self.at) / _DECAY_S)
 
 
 @dataclass(frozen=True, kw_only=True)
 class LastCall:
     """The call that a server got last; ``crowded``: others waited meanwhile."""
 
-    begun: float
-    ends: float
+    started_at: float
+    expected_end: float
     pieces: int
-    crowded: bool
+    has_backlog: bool
 
 
 @dataclass(kw_only=True)
-class Flow:
+class Throughput:
     """Calls in progress, and the pace of one service's servers.
 
     The pace is measured from one call's begin to the next one's while pieces
@@ -63,28 +63,28 @@
     """
 
     #: Pieces of clients that ask for the first time.
-    coming: RecentCount = field(default_factory=RecentCount)
+    arrivals: DecayingCounter = field(default_factory=DecayingCounter)
     #: Calls in progress by server.
     calls: dict[BackendId, int] = field(default_factory=dict)
     last_calls: dict[BackendId, LastCall] = field(default_factory=dict)
     #: How long a server takes for a piece while others wait; 0: not observed.
-    observed_s: float = 0
+    observed_piece_s: float = 0
 
-    def begun(self, call: StageCall, now: float, *, crowded: bool) -> None:
+    def call_started(self, call: StageCall, now: float, *, has_backlog: bool) -> None:
         """Hear that a call leaves; ``crowded``: pieces are left waiting."""
         instance = call.server.instance
         last = self.last_calls.get(instance)
-        if last is not None and last.crowded:
-            self._note_cycle(last, now)
+        if last is not None and last.has_backlog:
+            self._record_cycle(last, now)
         self.last_calls[instance] = LastCall(
-            begun=now,
-            ends=now + call.expected_s,
+            started_at=now,
+            expected_end=now + call.expected_s,
             pieces=len(call.pieces),
-            crowded=crowded,
+            has_backlog=has_backlog,
         )
         self.calls[instance] = self.calls.get(instance, 0) + 1
 
-    def ended(self, instance: BackendId) -> None:
+    def call_ended(self, instance: BackendId) -> None:
         """Hear that a call is over."""
         self.calls[instance] = max(0, self.calls.get(instance, 0) - 1)
 
@@ -92,10 +92,10 @@
         """Return whether a server has all the calls that it works on at once."""
         return self.calls.get(instance, 0) >= spec.slots
 
-    def pieces_per_s(self, sound: float, spec: BatchSpec) -> float:
+    def pieces_per_s(self, healthy: float, spec: BatchSpec) -> float:
         """Return how many pieces ``sound`` servers take in a second."""
-        piece_s = self.observed_s or spec.whole_call_s / spec.batch
-        return (sound or 1) * spec.slots / piece_s
+        piece_s = self.observed_piece_s or spec.whole_call_s / spec.batch
+        return (healthy or 1) * spec.slots / piece_s
 
     def until_free_s(
         self,
@@ -105,7 +105,9 @@
     ) -> float:
         """Return when the next server should be free, seconds from now."""
         free_at = [
-            self.last_calls[server.instance].ends if self.is_busy(server.instance, spec) else now
+            self.last_calls[server.instance].expected_end
+            if self.is_busy(server.instance, spec)
+            else now
             for server in servers
         ]
         return max(0, min(free_at) - now)
@@ -117,11 +119,11 @@
                 self.calls.pop(instance)
                 self.last_calls.pop(instance, None)
 
-    def _note_cycle(self, last: LastCall, now: float) -> None:
-        cycle_s = now - last.begun
-        if cycle_s > _ODD * (last.ends - last.begun):
+    def _record_cycle(self, last: LastCall, now: float) -> None:
+        cycle_s = now - last.started_at
+        if cycle_s > _OUTLIER_FACTOR * (last.expected_end - last.started_at):
             return
         sample_s = cycle_s / last.pieces
-        if not self.observed_s:
-            self.observed_s = sample_s
-        self.observed_s += _PACE_WEIGHT * (sample_s - self.observed_s)
+        if not self.observed_piece_s:
+            self.observed_piece_s = sample_s
+        self.observed_piece_s += _PACE_WEIGHT * (sample_s - self.observed_piece_s)
--- a/ringseam/gateway/stages/outlook.py
+++ b/ringseam/gateway/stages/waitestimate.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Outlook:
+class WaitEstimate:
     """What new pieces find before them, counted once for all precedences.
 
     The gateway that decides for a service tells it with each answer, so it must be cheap
@@ -24,11 +24,11 @@
     #: When the next server is free, seconds from now.
     until_free_s: float = 0
     #: Pieces that leave in a second; 0: there is no server.
-    leaving_per_s: float = 0
+    departures_per_s: float = 0
     #: Pieces of clients that ask for the first time, that come in a second.
-    coming_per_s: float = 0
+    arrivals_per_s: float = 0
     #: Pieces that wait and have the time, by precedence.
-    ahead: dict[Precedence, int] = field(default_factory=dict)
+    counts_by_precedence: dict[Precedence, int] = field(default_factory=dict)
     #: All pieces that wait.
     waiting: int = 0
 
@@ -39,15 +39,17 @@
         came back go after all others, so what is expected to come meanwhile
         counts for them as well: without it they wait for a turn that never comes.
         """
-        if not self.leaving_per_s:
+        if not self.departures_per_s:
             return 0
-        before = sum(count for known, count in self.ahead.items() if known <= precedence)
-        left = self.leaving_per_s
+        count_ahead = sum(
+            count for other, count in self.counts_by_precedence.items() if other <= precedence
+        )
+        rate = self.departures_per_s
         if precedence.returned:
-            left = max(left - self.coming_per_s, _LEAST_SHARE * left)
-        return self.until_free_s + before / left
+            rate = max(rate - self.arrivals_per_s, _LEAST_SHARE * rate)
+        return self.until_free_s + count_ahead / rate
 
     @property
     def backlog_s(self) -> float:
         """Return how long all that waits takes to leave, seconds."""
-        return self.waiting / self.leaving_per_s if self.leaving_per_s else 0
+        return self.waiting / self.departures_per_s if self.departures_per_s else 0
--- a/ringseam/model/gateways.py
+++ b/ringseam/model/gateways.py
@@ -234,8 +234,10 @@
             ownership=ownership,
             pace=turns.pace,
         )
-        self.pieces = PieceClient(clock=clock, client=client, works=self.works, ownership=ownership)
-        self.works.give_up = self.pieces.release
+        self.pieces = PieceClient(
+            clock=clock, client=client, scheduler=self.works, ownership=ownership
+        )
+        self.works.release_inputs = self.pieces.release
         answers = Answers(node=node, metrics=Metrics())
         attempts = Attempts(
             node=node,
--- a/tests/test_gateway/test_stages/test_stages_batching.py
+++ b/tests/test_gateway/test_stages/test_stages_batching.py
@@ -9,12 +9,12 @@
 from ringseam.backends import BackendId, BackendReport
 from ringseam.gateway.following.health import HealthBook
 from ringseam.gateway.stages.batching import (
-    FULL_S,
+    FULL_BACKOFF_S,
     Batcher,
 )
+from ringseam.gateway.stages.capacity import UNKNOWN_USAGE_S
 from ringseam.gateway.stages.jobs import PieceJob, StageCall
-from ringseam.gateway.stages.order import in_order, turn_of
-from ringseam.gateway.stages.rooms import UNKNOWN_S
+from ringseam.gateway.stages.order import dispatch_class_of, dispatch_order
 from ringseam.gateway.worth import Precedence
 from ringseam.routes import BatchSpec, ServiceName
 
@@ -47,7 +47,7 @@
     )
 
 
-def batcher():
+def new_batcher():
     return Batcher(service=SERVICE, health=HealthBook())
 
 
@@ -56,258 +56,258 @@
 
 
 def test_pieces_wait_while_all_are_busy_and_leave_in_a_full_call():
-    works = batcher()
-    works.add(job('first'), 0)
-    busy = works.next_call([server('s')], SPEC, 0)
-    works.add(job('second', pieces=3), 0)
-    works.add(job('third', pieces=3), 0)
-    assert works.next_call([server('s')], SPEC, 0) is None
-    works.ended(busy)
-    call = works.next_call([server('s')], SPEC, 0)
+    batcher = new_batcher()
+    batcher.add(job('first'), 0)
+    busy = batcher.next_call([server('s')], SPEC, 0)
+    batcher.add(job('second', pieces=3), 0)
+    batcher.add(job('third', pieces=3), 0)
+    assert batcher.next_call([server('s')], SPEC, 0) is None
+    batcher.call_ended(busy)
+    call = batcher.next_call([server('s')], SPEC, 0)
     assert requests_of(call) == ['second', 'second', 'second']
-    works.ended(call)
-    assert requests_of(works.next_call([server('s')], SPEC, 0)) == ['third'] * 3
+    batcher.call_ended(call)
+    assert requests_of(batcher.next_call([server('s')], SPEC, 0)) == ['third'] * 3
 
 
 def test_call_is_filled_with_a_later_job_that_it_takes_whole():
     """Load: jobs of several pieces, more of them than calls take. A job in two calls
     is as late as the second, and holds room from the first."""
-    works = batcher()
-    works.add(job('first', pieces=3, due=1), 0)
-    works.add(job('too large', pieces=2, due=2), 0)
-    works.add(job('fits', pieces=1, due=3), 0)
-    call = works.next_call([server('s')], SPEC, 0)
+    batcher = new_batcher()
+    batcher.add(job('first', pieces=3, due=1), 0)
+    batcher.add(job('too large', pieces=2, due=2), 0)
+    batcher.add(job('fits', pieces=1, due=3), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
     assert requests_of(call) == ['first', 'first', 'first', 'fits']
 
 
 def test_job_of_more_pieces_than_a_call_takes_is_begun_with_a_full_call():
-    works = batcher()
-    works.add(job('small', pieces=1, due=1), 0)
-    works.add(job('large', pieces=9, due=2), 0)
-    call = works.next_call([server('s')], SPEC, 0)
+    batcher = new_batcher()
+    batcher.add(job('small', pieces=1, due=1), 0)
+    batcher.add(job('large', pieces=9, due=2), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
     assert requests_of(call) == ['small', 'large', 'large', 'large']
 
 
 def test_urgent_request_goes_first_and_a_late_one_last():
-    works = batcher()
-    works.add(job('late and cheap', due=-1, rank=1), 0)
-    works.add(job('late and dear', due=-1, rank=0), 0)
-    works.add(job('plain', rank=1), 0)
-    works.add(job('dear', rank=0), 0)
-    call = works.next_call([server('s')], SPEC, 0)
+    batcher = new_batcher()
+    batcher.add(job('late and cheap', due=-1, rank=1), 0)
+    batcher.add(job('late and dear', due=-1, rank=0), 0)
+    batcher.add(job('plain', rank=1), 0)
+    batcher.add(job('dear', rank=0), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
     assert requests_of(call) == ['dear', 'plain', 'late and dear', 'late and cheap']
 
 
 def test_begun_job_goes_before_a_dearer_one_that_holds_no_room():
-    works = batcher()
-    works.add(job('begun', pieces=6, rank=2, due=-1), 0)
-    works.ended(works.next_call([server('s')], SPEC, 0))
-    works.add(job('dear', pieces=2, rank=0), 0)
-    call = works.next_call([server('s')], SPEC, 0)
+    batcher = new_batcher()
+    batcher.add(job('begun', pieces=6, rank=2, due=-1), 0)
+    batcher.call_ended(batcher.next_call([server('s')], SPEC, 0))
+    batcher.add(job('dear', pieces=2, rank=0), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
     assert requests_of(call) == ['begun', 'begun', 'dear', 'dear']
 
 
 def test_job_whose_inputs_are_soon_lost_goes_first():
     """Seen on the bench: cheaper requests waited in the middle of their stages
     until their inputs were given up, and began anew."""
-    works = batcher()
-    works.add(job('dear', pieces=2, rank=0), 0)
-    works.add(job('expiring', pieces=2, rank=2, expires=1.0), 0)
-    works.add(job('waiting', pieces=2, rank=2, expires=9.0), 0)
-    call = works.next_call([server('s')], SPEC, 0)
+    batcher = new_batcher()
+    batcher.add(job('dear', pieces=2, rank=0), 0)
+    batcher.add(job('expiring', pieces=2, rank=2, expires=1.0), 0)
+    batcher.add(job('waiting', pieces=2, rank=2, expires=9.0), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
     assert requests_of(call) == ['expiring', 'expiring', 'dear', 'dear']
 
 
 def test_late_job_does_not_go_first_for_its_inputs():
-    works = batcher()
-    works.add(job('dear', pieces=4, rank=0), 0)
-    works.add(job('late', pieces=2, rank=2, due=-1, expires=1.0), 0)
-    assert requests_of(works.next_call([server('s')], SPEC, 0)) == ['dear'] * 4
+    batcher = new_batcher()
+    batcher.add(job('dear', pieces=4, rank=0), 0)
+    batcher.add(job('late', pieces=2, rank=2, due=-1, expires=1.0), 0)
+    assert requests_of(batcher.next_call([server('s')], SPEC, 0)) == ['dear'] * 4
 
 
 def test_late_job_whose_inputs_are_soon_lost_goes_before_other_late_ones():
-    works = batcher()
-    works.add(job('late and dear', pieces=2, rank=0, due=-1), 0)
-    works.add(job('late', pieces=2, rank=2, due=-1, expires=1.0), 0)
-    call = works.next_call([server('s')], SPEC, 0)
+    batcher = new_batcher()
+    batcher.add(job('late and dear', pieces=2, rank=0, due=-1), 0)
+    batcher.add(job('late', pieces=2, rank=2, due=-1, expires=1.0), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
     assert requests_of(call) == ['late', 'late', 'late and dear', 'late and dear']
 
 
 def test_call_is_filled_with_what_other_zones_would_not_reach_next():
     """Seen on the bench: calls left half full while pieces waited for servers of
     their zones, and the queues of all services grew."""
-    works = batcher()
+    batcher = new_batcher()
     near, far = server('near', 'a'), server('far', 'b')
-    works.flow.calls[far.instance] = 1
-    works.add(job('here', pieces=1, zone='a', due=20), 0)
-    works.add(job('there', pieces=6, zone='b', due=10), 0)
-    call = works.next_call([near, far], SPEC, 0)
+    batcher.throughput.calls[far.instance] = 1
+    batcher.add(job('here', pieces=1, zone='a', due=20), 0)
+    batcher.add(job('there', pieces=6, zone='b', due=10), 0)
+    call = batcher.next_call([near, far], SPEC, 0)
     assert call.server is near
     assert requests_of(call) == ['there', 'there', 'here']
 
 
 def test_slow_server_takes_only_what_the_others_would_do_later():
-    works = batcher()
+    batcher = new_batcher()
     slow, fast = server('slow'), server('fast')
-    works.health.compared(slow.instance, 5.0, now=0)
-    works.flow.calls[fast.instance] = 1
-    works.add(job('near', pieces=8, due=2), 0)
-    assert works.next_call([slow, fast], SPEC, 0) is None
-    works.add(job('far', pieces=2, due=3), 0)
-    call = works.next_call([slow, fast], SPEC, 0)
+    batcher.health.compared(slow.instance, 5.0, now=0)
+    batcher.throughput.calls[fast.instance] = 1
+    batcher.add(job('near', pieces=8, due=2), 0)
+    assert batcher.next_call([slow, fast], SPEC, 0) is None
+    batcher.add(job('far', pieces=2, due=3), 0)
+    call = batcher.next_call([slow, fast], SPEC, 0)
     assert call.server is slow
     assert requests_of(call) == ['far', 'far']
 
 
 def test_slow_servers_work_when_there_are_no_others():
-    works = batcher()
+    batcher = new_batcher()
     slow = server('slow')
-    works.health.compared(slow.instance, 5.0, now=0)
-    works.add(job('r'), 0)
-    assert works.next_call([slow], SPEC, 0).server is slow
+    batcher.health.compared(slow.instance, 5.0, now=0)
+    batcher.add(job('r'), 0)
+    assert batcher.next_call([slow], SPEC, 0).server is slow
 
 
 def test_silent_server_gets_one_piece_until_it_answers():
     """Pattern silent: a zone is cut off for seconds, and every call there is lost for
     several times its length. It is the least urgent piece that finds out."""
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('silent'), server('sound')]
-    works.health.fell_silent(BackendId('silent'), 0)
-    works.add(job('dear', rank=0, pieces=3), 0)
-    works.add(job('plain', pieces=3), 0)
-    works.add(job('last', pieces=3, due=20), 0)
-    call = works.next_call(servers, SPEC, 0)
+    batcher.health.fell_silent(BackendId('silent'), 0)
+    batcher.add(job('dear', rank=0, pieces=3), 0)
+    batcher.add(job('plain', pieces=3), 0)
+    batcher.add(job('last', pieces=3, due=20), 0)
+    call = batcher.next_call(servers, SPEC, 0)
     assert call.server.instance == 'sound'
     assert requests_of(call) == ['dear'] * 3
-    call = works.next_call(servers, SPEC, 0)
+    call = batcher.next_call(servers, SPEC, 0)
     assert call.server.instance == 'silent'
     assert requests_of(call) == ['last']
-    works.health.succeeded(BackendId('silent'), 1)
-    works.ended(call)
-    call = works.next_call([server('silent')], SPEC, 1)
+    batcher.health.succeeded(BackendId('silent'), 1)
+    batcher.call_ended(call)
+    call = batcher.next_call([server('silent')], SPEC, 1)
     assert len(call.pieces) > 1
 
 
 def test_piece_waits_for_its_zone_while_it_has_the_time():
-    works = batcher()
+    batcher = new_batcher()
     near, far = server('near', 'a'), server('far', 'b')
-    works.flow.calls[near.instance] = 1
-    works.add(job('r', zone='a', due=100), 0)
-    assert works.next_call([near, far], SPEC, 0) is None
+    batcher.throughput.calls[near.instance] = 1
+    batcher.add(job('r', zone='a', due=100), 0)
+    assert batcher.next_call([near, far], SPEC, 0) is None
     # One whole call still fits before it is due, then none does.
-    assert works.next_call([near, far], SPEC, 99.5) is None
-    call = works.next_call([near, far], SPEC, 99.7)
+    assert batcher.next_call([near, far], SPEC, 99.5) is None
+    call = batcher.next_call([near, far], SPEC, 99.7)
     assert call.server is far
 
 
 def test_dear_piece_leaves_a_busy_zone_at_once_but_not_an_idle_one():
-    works = batcher()
+    batcher = new_batcher()
     near, far = server('near', 'a'), server('far', 'b')
-    works.add(job('r', zone='a', due=100, rank=0), 0)
-    assert works.next_call([near, far], SPEC, 0).server is near
-    works.add(job('q', zone='a', due=100, rank=0), 0)
-    assert works.next_call([near, far], SPEC, 0).server is far
+    batcher.add(job('r', zone='a', due=100, rank=0), 0)
+    assert batcher.next_call([near, far], SPEC, 0).server is near
+    batcher.add(job('q', zone='a', due=100, rank=0), 0)
+    assert batcher.next_call([near, far], SPEC, 0).server is far
 
 
 def test_late_piece_does_not_starve_in_a_busy_zone():
-    works = batcher()
+    batcher = new_batcher()
     near, far = server('near', 'a'), server('far', 'b')
-    works.flow.calls[near.instance] = 1
-    works.add(job('r', zone='a', due=1), 0)
-    assert works.next_call([near, far], SPEC, 2).server is far
+    batcher.throughput.calls[near.instance] = 1
+    batcher.add(job('r', zone='a', due=1), 0)
+    assert batcher.next_call([near, far], SPEC, 2).server is far
 
 
 def test_room_bounds_a_call():
-    works = batcher()
-    works.add(job('r', pieces=4, size=400_000), 0)
-    call = works.next_call([server('s')], SPEC, 0)
+    batcher = new_batcher()
+    batcher.add(job('r', pieces=4, size=400_000), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
     assert len(call.pieces) == 2
 
 
 def test_kept_results_take_room_until_they_are_freed():
-    works = batcher()
-    works.rooms.kept(BackendId('s'), 900_000)
-    works.add(job('r', size=400_000), 0)
-    assert works.next_call([server('s')], SPEC, 0) is None
-    works.rooms.freed(BackendId('s'), 900_000)
-    assert works.next_call([server('s')], SPEC, 0) is not None
+    batcher = new_batcher()
+    batcher.capacity.reserve(BackendId('s'), 900_000)
+    batcher.add(job('r', size=400_000), 0)
+    assert batcher.next_call([server('s')], SPEC, 0) is None
+    batcher.capacity.release(BackendId('s'), 900_000)
+    assert batcher.next_call([server('s')], SPEC, 0) is not None
 
 
 def test_result_larger_than_the_room_is_tried_alone():
-    works = batcher()
-    works.add(job('r', pieces=2, size=2_000_000), 0)
-    assert len(works.next_call([server('s')], SPEC, 0).pieces) == 1
+    batcher = new_batcher()
+    batcher.add(job('r', pieces=2, size=2_000_000), 0)
+    assert len(batcher.next_call([server('s')], SPEC, 0).pieces) == 1
 
 
 def test_full_server_is_left_alone_for_a_while():
-    works = batcher()
-    works.add(job('r'), 0)
-    call = works.next_call([server('s')], SPEC, 0)
-    works.ended(call)
-    works.found_full(call.pieces[0], BackendId('s'), SPEC, 0)
-    assert works.next_call([server('s')], SPEC, FULL_S / 2) is None
-    assert works.next_call([server('s')], SPEC, UNKNOWN_S * 2) is not None
+    batcher = new_batcher()
+    batcher.add(job('r'), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
+    batcher.call_ended(call)
+    batcher.requeue_full(call.pieces[0], BackendId('s'), SPEC, 0)
+    assert batcher.next_call([server('s')], SPEC, FULL_BACKOFF_S / 2) is None
+    assert batcher.next_call([server('s')], SPEC, UNKNOWN_USAGE_S * 2) is not None
 
 
 def test_room_taken_by_unknown_results_is_left_out_for_a_while():
     """Seen on the bench: after its owner was lost, a service's servers were asked
     every 60 ms for more than the room that was left."""
-    works = batcher()
-    works.add(job('r', pieces=2, size=300_000), 0)
-    call = works.next_call([server('s')], SPEC, 0)
-    works.ended(call)
-    works.rooms.kept(BackendId('s'), 300_000)
-    works.found_full(call.pieces[1], BackendId('s'), SPEC, 0)
-    works.add(job('small', pieces=2, size=100_000), 0)
-    assert works.next_call([server('s')], SPEC, FULL_S * 2) is not None
-    works.ended(StageCall(server=server('s'), pieces=[], expected_s=0))
-    assert works.waiting
-    assert works.next_call([server('s')], SPEC, UNKNOWN_S * 2) is not None
+    batcher = new_batcher()
+    batcher.add(job('r', pieces=2, size=300_000), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
+    batcher.call_ended(call)
+    batcher.capacity.reserve(BackendId('s'), 300_000)
+    batcher.requeue_full(call.pieces[1], BackendId('s'), SPEC, 0)
+    batcher.add(job('small', pieces=2, size=100_000), 0)
+    assert batcher.next_call([server('s')], SPEC, FULL_BACKOFF_S * 2) is not None
+    batcher.call_ended(StageCall(server=server('s'), pieces=[], expected_s=0))
+    assert batcher.waiting
+    assert batcher.next_call([server('s')], SPEC, UNKNOWN_USAGE_S * 2) is not None
 
 
 def test_piece_tries_another_server_after_a_failure():
-    works = batcher()
+    batcher = new_batcher()
     first, second = server('first'), server('second')
-    works.add(job('r'), 0)
-    call = works.next_call([first, second], SPEC, 0)
-    works.ended(call)
-    works.again(call.pieces[0], call.server.instance)
-    again = works.next_call([first, second], SPEC, 0)
+    batcher.add(job('r'), 0)
+    call = batcher.next_call([first, second], SPEC, 0)
+    batcher.call_ended(call)
+    batcher.requeue_after_failure(call.pieces[0], call.server.instance)
+    again = batcher.next_call([first, second], SPEC, 0)
     assert again.server is not call.server
 
 
 def test_wait_counts_what_is_ahead_by_priority():
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('s')]
-    works.add(job('under way', pieces=4), 0)
-    works.next_call(servers, SPEC, 0)
-    works.add(job('dear', pieces=8, rank=0), 0)
-    works.add(job('cheap', pieces=8, rank=2), 0)
+    batcher.add(job('under way', pieces=4), 0)
+    batcher.next_call(servers, SPEC, 0)
+    batcher.add(job('dear', pieces=8, rank=0), 0)
+    batcher.add(job('cheap', pieces=8, rank=2), 0)
     # The call under way takes 0.4 s more; then 4 pieces leave every 0.4 s.
-    assert works.outlook(servers, SPEC, 0).wait_s(Precedence(rank=0)) == pytest.approx(
+    assert batcher.wait_estimate(servers, SPEC, 0).wait_s(Precedence(rank=0)) == pytest.approx(
         0.4 + 0.4 * 2
     )
-    assert works.outlook(servers, SPEC, 0).wait_s(Precedence(rank=2)) == pytest.approx(
+    assert batcher.wait_estimate(servers, SPEC, 0).wait_s(Precedence(rank=2)) == pytest.approx(
         0.4 + 0.4 * 4
     )
-    assert works.outlook(servers, SPEC, 0.1).wait_s(Precedence(rank=2)) == pytest.approx(
+    assert batcher.wait_estimate(servers, SPEC, 0.1).wait_s(Precedence(rank=2)) == pytest.approx(
         0.3 + 0.4 * 4
     )
 
 
 def test_wait_follows_the_pace_at_which_pieces_leave():
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('s')]
     now = 0.0
     for number in range(40):
-        works.add(job(f'r{number}', pieces=4, due=1e6), now)
-        works.add(job(f'q{number}', pieces=4, due=1e6), now)
-        call = works.next_call(servers, SPEC, now)
+        batcher.add(job(f'r{number}', pieces=4, due=1e6), now)
+        batcher.add(job(f'q{number}', pieces=4, due=1e6), now)
+        call = batcher.next_call(servers, SPEC, now)
         # Each call takes twice as long as the configuration says.
         now += 0.8
-        works.ended(call)
-    expected = 0.8 * len(works.waiting) / 4
-    assert works.outlook(servers, SPEC, now).wait_s(Precedence(rank=1)) == pytest.approx(
+        batcher.call_ended(call)
+    expected = 0.8 * len(batcher.waiting) / 4
+    assert batcher.wait_estimate(servers, SPEC, now).wait_s(Precedence(rank=1)) == pytest.approx(
         expected, rel=0.05
     )
 
@@ -315,59 +315,61 @@
 def test_client_that_came_back_goes_after_all_that_ask_for_the_first_time():
     """Load: one service short of servers, refused clients come back. Grounds:
     bench/patterns/starved, 0.05 of the worth with standard error 0.01."""
-    works = batcher()
-    works.add(job('back', pieces=2, rank=0, returned=True), 0)
-    works.add(job('cheap', pieces=2, rank=2), 0)
-    call = works.next_call([server('s')], SPEC, 0)
+    batcher = new_batcher()
+    batcher.add(job('back', pieces=2, rank=0, returned=True), 0)
+    batcher.add(job('cheap', pieces=2, rank=2), 0)
+    call = batcher.next_call([server('s')], SPEC, 0)
     assert requests_of(call) == ['cheap', 'cheap', 'back', 'back']
 
 
 def test_wait_of_a_client_that_came_back_counts_what_will_overtake_it():
     """Load: more first tries than the servers carry. Without it clients that came
     back wait for a turn that never comes: bench/patterns/starved, 0.14 of the worth."""
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('s')]
     for number in range(100):
         now = number * 0.1
-        works.add(job(f'r{number}', pieces=2, due=now + 1), now)
-        call = works.next_call(servers, SPEC, now)
+        batcher.add(job(f'r{number}', pieces=2, due=now + 1), now)
+        call = batcher.next_call(servers, SPEC, now)
         if call is not None:
-            works.ended(call)
-    first = works.outlook(servers, SPEC, 10).wait_s(Precedence(rank=1))
-    back = works.outlook(servers, SPEC, 10).wait_s(Precedence(rank=0, returned=True))
-    works.add(job('back', rank=0, returned=True, due=12), 10)
+            batcher.call_ended(call)
+    first = batcher.wait_estimate(servers, SPEC, 10).wait_s(Precedence(rank=1))
+    back = batcher.wait_estimate(servers, SPEC, 10).wait_s(Precedence(rank=0, returned=True))
+    batcher.add(job('back', rank=0, returned=True, due=12), 10)
     assert back >= first
-    assert works.outlook(servers, SPEC, 10).wait_s(Precedence(rank=0, returned=True)) > 4
+    assert batcher.wait_estimate(servers, SPEC, 10).wait_s(Precedence(rank=0, returned=True)) > 4
 
 
 def test_late_pieces_are_given_up_while_others_fill_the_next_calls():
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('s')]
-    works.add(job('late', pieces=2, due=0.1), 0)
-    works.add(job('in time', pieces=3), 0)
+    batcher.add(job('late', pieces=2, due=0.1), 0)
+    batcher.add(job('in time', pieces=3), 0)
     # They would leave with the next call, which has place.
-    assert works.hopeless(servers, SPEC, 0) == []
-    works.add(job('more', pieces=1), 0)
-    assert {piece.job.attempt_id for piece in works.hopeless(servers, SPEC, 0)} == {'late'}
+    assert batcher.pieces_to_shed(servers, SPEC, 0) == []
+    batcher.add(job('more', pieces=1), 0)
+    assert {piece.job.attempt_id for piece in batcher.pieces_to_shed(servers, SPEC, 0)} == {'late'}
 
 
 def test_what_is_begun_is_finished_though_it_is_late():
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('s')]
-    works.add(job('late', pieces=6, due=0.1), 0)
-    works.next_call(servers, SPEC, 0)
-    works.add(job('in time', pieces=8), 0)
-    assert works.hopeless(servers, SPEC, 0.2) == []
+    batcher.add(job('late', pieces=6, due=0.1), 0)
+    batcher.next_call(servers, SPEC, 0)
+    batcher.add(job('in time', pieces=8), 0)
+    assert batcher.pieces_to_shed(servers, SPEC, 0.2) == []
 
 
 def test_client_that_came_back_is_given_up_when_its_turn_comes_after_its_limit():
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('s')]
     for number in range(20):
-        works.add(job(f'r{number}', pieces=4), 0)
-    works.add(job('hopeless', returned=True, due=1.0), 0)
-    works.add(job('has time', returned=True, due=1e6), 0)
-    assert {piece.job.attempt_id for piece in works.hopeless(servers, SPEC, 0)} == {'hopeless'}
+        batcher.add(job(f'r{number}', pieces=4), 0)
+    batcher.add(job('hopeless', returned=True, due=1.0), 0)
+    batcher.add(job('has time', returned=True, due=1e6), 0)
+    assert {piece.job.attempt_id for piece in batcher.pieces_to_shed(servers, SPEC, 0)} == {
+        'hopeless'
+    }
 
 
 @given(
@@ -383,51 +385,51 @@
 )
 def test_every_piece_leaves_exactly_once(arrivals):
     """Against the naive statement: all that came leaves, in calls that fit."""
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('x', 'a'), server('y', 'b')]
     expected = []
     for number, (pieces, priority, zone, size) in enumerate(arrivals):
-        works.add(job(f'r{number}', pieces, rank=priority, zone=zone, size=size), 0)
+        batcher.add(job(f'r{number}', pieces, rank=priority, zone=zone, size=size), 0)
         expected.extend((f'r{number}', piece) for piece in range(pieces))
     seen = []
     now = 0.0
     for _ in range(200):
-        call = works.next_call(servers, SPEC, now)
+        call = batcher.next_call(servers, SPEC, now)
         if call is None:
             now += 1
             continue
         assert len(call.pieces) <= SPEC.batch
         assert sum(piece.job.result_bytes for piece in call.pieces) <= SPEC.room_bytes
         seen.extend((piece.job.attempt_id, piece.number) for piece in call.pieces)
-        works.ended(call)
+        batcher.call_ended(call)
     assert sorted(seen) == sorted(expected)
-    assert not any(works.rooms.kept_bytes.values())
+    assert not any(batcher.capacity.used_bytes.values())
 
 
 def test_giving_up_costs_one_look_at_all_that_waits(monkeypatch):
     """Load: 400 pieces wait, a half of them of clients that came back. Grounds: a look at
     all for each piece took 5.9 ms a decision instead of 0.1; at 0.4 of a core the
     gateway that decides for a service was out of reach for the others."""
-    works = batcher()
+    batcher = new_batcher()
     for number in range(200):
-        works.add(job(f'r{number}', rank=number % 3), 0)
-        works.add(job(f'q{number}', rank=number % 3, returned=True), 0)
+        batcher.add(job(f'r{number}', rank=number % 3), 0)
+        batcher.add(job(f'q{number}', rank=number % 3, returned=True), 0)
     looks = []
-    whole = Batcher.outlook
-    monkeypatch.setattr(Batcher, 'outlook', lambda *args: looks.append(args) or whole(*args))
-    works.hopeless([server('s')], SPEC, 0)
+    whole = Batcher.wait_estimate
+    monkeypatch.setattr(Batcher, 'wait_estimate', lambda *args: looks.append(args) or whole(*args))
+    batcher.pieces_to_shed([server('s')], SPEC, 0)
     assert len(looks) == 1
 
 
 def test_what_no_call_can_make_in_time_is_not_begun_but_given_up_at_once():
     """Load: a decider that is behind. Grounds: results that come after their client's time
     take the place of others, so that those are late as well."""
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('s')]
-    works.add(job('vain', pieces=2, due=-4.9), 0)
-    works.add(job('late', pieces=2, due=-1), 0)
-    assert {piece.job.attempt_id for piece in works.hopeless(servers, SPEC, 0)} == {'vain'}
-    assert requests_of(works.next_call(servers, SPEC, 0)) == ['late', 'late']
+    batcher.add(job('vain', pieces=2, due=-4.9), 0)
+    batcher.add(job('late', pieces=2, due=-1), 0)
+    assert {piece.job.attempt_id for piece in batcher.pieces_to_shed(servers, SPEC, 0)} == {'vain'}
+    assert requests_of(batcher.next_call(servers, SPEC, 0)) == ['late', 'late']
 
 
 @given(
@@ -444,33 +446,39 @@
 )
 def test_order_by_jobs_is_that_by_pieces(arrivals):
     """Against the naive statement: each piece has its urgency, and all are sorted."""
-    works = batcher()
+    batcher = new_batcher()
     for number, (pieces, rank, returned, due, expires) in enumerate(arrivals):
         arrived = job(f'r{number}', pieces, rank=rank, returned=returned, due=due, expires=expires)
-        group = works.add(arrived, 0)[0].group
-        group.begun = number % 4 == 0
+        group = batcher.add(arrived, 0)[0].group
+        group.started = number % 4 == 0
 
     def urgency(piece):
         known = piece.job
-        return (turn_of(piece, 0), known.precedence, known.due, known.attempt_id, piece.number)
+        return (
+            dispatch_class_of(piece, 0),
+            known.precedence,
+            known.due,
+            known.attempt_id,
+            piece.number,
+        )
 
-    assert in_order(works.waiting, 0) == sorted(works.waiting, key=urgency)
+    assert dispatch_order(batcher.waiting, 0) == sorted(batcher.waiting, key=urgency)
 
 
 @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 2), st.booleans()), max_size=20))
 def test_outlook_counts_for_all_what_is_counted_for_each(arrivals):
     """Against the naive statement: for each precedence a look at all that waits."""
-    works = batcher()
+    batcher = new_batcher()
     servers = [server('x'), server('y')]
-    works.add(job('under way', pieces=4), 0)
-    works.next_call(servers, SPEC, 0)
+    batcher.add(job('under way', pieces=4), 0)
+    batcher.next_call(servers, SPEC, 0)
     for number, (pieces, rank, returned) in enumerate(arrivals):
-        works.add(job(f'r{number}', pieces, rank=rank, returned=returned, due=number - 5), 0)
-    outlook = works.outlook(servers, SPEC, 0)
+        batcher.add(job(f'r{number}', pieces, rank=rank, returned=returned, due=number - 5), 0)
+    estimate = batcher.wait_estimate(servers, SPEC, 0)
     for rank in range(4):
         own = Precedence(rank=rank)
-        ahead = sum(
-            1 for piece in works.waiting if piece.job.precedence <= own and piece.job.due > 0
+        counts_by_precedence = sum(
+            1 for piece in batcher.waiting if piece.job.precedence <= own and piece.job.due > 0
         )
-        assert outlook.wait_s(own) == pytest.approx(0.05 * ahead)
-    assert outlook.backlog_s == pytest.approx(0.05 * len(works.waiting))
+        assert estimate.wait_s(own) == pytest.approx(0.05 * counts_by_precedence)
+    assert estimate.backlog_s == pytest.approx(0.05 * len(batcher.waiting))
--- a/tests/test_gateway/test_stages/test_stages_client.py
+++ b/tests/test_gateway/test_stages/test_stages_client.py
@@ -9,7 +9,7 @@
 
 from ringseam.clock import PausedClock
 from ringseam.errors import UnreachableError
-from ringseam.gateway.stages.client import PieceClient, ToldWaits
+from ringseam.gateway.stages.client import PieceClient, ReportedWaits
 from ringseam.gateway.stages.messages import WAITS, Waits, WaitsReply
 from ringseam.gateway.worth import Precedence
 from ringseam.routes import ServiceName
@@ -34,8 +34,8 @@
 
 def pieces_of(owner, address='o:1'):
     ownership = SimpleNamespace(owner_of=lambda service: address)
-    works = SimpleNamespace(wait_s=lambda service, precedence: 7)
-    return PieceClient(clock=PausedClock(), client=owner, works=works, ownership=ownership)
+    scheduler = SimpleNamespace(wait_s=lambda service, precedence: 7)
+    return PieceClient(clock=PausedClock(), client=owner, scheduler=scheduler, ownership=ownership)
 
 
 @pytest.mark.parametrize(('age_s', 'asked'), [(0.1, 0), (0.2, 1), (None, 1)])
@@ -44,8 +44,8 @@
     pieces = pieces_of(owner)
     if age_s is not None:
         at = pieces.clock.now() - age_s
-        pieces.told[CROPS] = ToldWaits(at=at, waits=Waits(first_ms={0: 300, 1: 900}))
-    asyncio.run(pieces.ask_waits({CROPS}))
+        pieces.reported_waits[CROPS] = ReportedWaits(at=at, waits=Waits(first_ms={0: 300, 1: 900}))
+    asyncio.run(pieces.refresh_waits({CROPS}))
     assert len(owner.asked) == asked
     assert pieces.wait_s(CROPS, Precedence(rank=0)) == 0.3
     assert pieces.wait_s(CROPS, Precedence(rank=2)) == 0.9
@@ -53,13 +53,13 @@
 
 def test_owner_out_of_reach_leaves_the_wait_unknown():
     pieces = pieces_of(Owner())
-    asyncio.run(pieces.ask_waits({CROPS}))
+    asyncio.run(pieces.refresh_waits({CROPS}))
     assert pieces.wait_s(CROPS, Precedence(rank=0)) == 0
 
 
 def test_own_batches_are_not_asked_for():
     owner = Owner({})
     pieces = pieces_of(owner, address='')
-    asyncio.run(pieces.ask_waits({CROPS}))
+    asyncio.run(pieces.refresh_waits({CROPS}))
     assert not owner.asked
     assert pieces.wait_s(CROPS, Precedence(rank=0)) == 7
--- a/tests/test_gateway/test_stages/test_stages_graph.py
+++ b/tests/test_gateway/test_stages/test_stages_graph.py
@@ -33,7 +33,7 @@
         self.fault = PieceFault.error
         self.fault_at = fault_at
 
-    async def make(self, job):
+    async def run(self, job):
         self.begun.append((job.stage, tuple(self.ended)))
         self.zones[job.stage] = job.zone
         self.jobs[job.stage] = job
@@ -61,9 +61,9 @@
         self.endless = endless
         self.cancelled = []
 
-    async def make(self, job):
+    async def run(self, job):
         if job.stage != self.endless:
-            return await super().make(job)
+            return await super().run(job)
         try:
             return await asyncio.get_running_loop().create_future()
         finally:
@@ -101,8 +101,8 @@
         pieces=pieces,
         clock=PausedClock(),
         table=table,
-        zone='home',
-        zones={'a:1': 'away'},
+        server_zone='home',
+        zone_by_address={'a:1': 'away'},
     )
 
 
@@ -167,13 +167,13 @@
     pieces = RecordedPieces()
     run = run_of([stage(), RouteStage(service=ServiceName('other'))], [2, 1], pieces)
     assert asyncio.run(run.run()) is None
-    assert run.is_held
+    assert run.has_all_inputs
     pieces.waits[CROPS] = 1
-    run.release_scarce()
+    run.release_contended()
     assert run.inputs() == ('a:1/1-0',)
-    assert not run.is_held
+    assert not run.has_all_inputs
     assert asyncio.run(run.run()) is None
-    assert run.is_held
+    assert run.has_all_inputs
     assert run.inputs() == ('a:1/0-0', 'a:1/0-1', 'a:1/1-0')
 
 
@@ -194,7 +194,7 @@
     }
     for number in lost:
         run.handles.pop(number, None)
-    assert run.is_held == (not wanted & lost)
+    assert run.has_all_inputs == (not wanted & lost)
 
 
 def test_stages_leave_the_time_for_what_follows():
@@ -225,10 +225,10 @@
         super().__init__()
         self.gate = asyncio.Event()
 
-    async def make(self, job):
+    async def run(self, job):
         if job.stage == 0:
             await self.gate.wait()
-        return await super().make(job)
+        return await super().run(job)
 
 
 def test_stage_is_never_asked_for_without_its_inputs():
--- a/tests/test_gateway/test_stages/test_stages_scheduler.py
+++ b/tests/test_gateway/test_stages/test_stages_scheduler.py
@@ -8,8 +8,8 @@
 import pytest
 
 from ringseam.backends import BackendId, BackendReport, GatewayState
+from ringseam.gateway.stages.capacity import ResultCapacity
 from ringseam.gateway.stages.jobs import Piece, PieceJob, StageCall
-from ringseam.gateway.stages.rooms import Rooms
 from ringseam.routes import BatchSpec, ServiceName
 from tests.gateways import (
     LocalGateway,
@@ -397,14 +397,14 @@
     The inputs of a whole call were kept until its answer, twice as long as they were
     needed, so the service before it made calls of two thirds of its batch.
     """
-    rooms = Rooms(kept_bytes={BackendId('a'): 400 + 500})
+    capacity = ResultCapacity(used_bytes={BackendId('a'): 400 + 500})
     spec = BatchSpec(
         slots=1, queue=2, batch=50, call_s=0.2, piece_s=0.01, room_bytes=1000, keep_s=4
     )
-    pieces = [Piece(job=piece_job(result_bytes=10), number=n, order=n) for n in range(50)]
+    pieces = [Piece(job=piece_job(result_bytes=10), number=n, arrival=n) for n in range(50)]
     call = StageCall(server=server_of_crops('a'), pieces=pieces, expected_s=0.7)
     # 400 bytes of others; 850 of 1,000 are never refused.
-    assert rooms.sure_bytes(call, spec) == 450
+    assert capacity.guaranteed_bytes(call, spec) == 450
 
 
 def piece_job(**fields):
--- a/tests/test_model/test_model_servers.py
+++ b/tests/test_model/test_model_servers.py
@@ -44,7 +44,7 @@
         rank=0,
         result_bytes=size,
     )
-    made = [Piece(job=job, number=number, order=number) for number in job.pieces]
+    made = [Piece(job=job, number=number, arrival=number) for number in job.pieces]
     return StageCall(server=REPORT, pieces=made, expected_s=0.3)
 
 
