--- a/bench/deciders.py
+++ b/bench/deciders.py
@@ -32,10 +32,10 @@
 from ringseam.model.virtualtime import run_virtual
 from ringseam.node import Node
 from ringseam.platform.stages import PieceResult
+from ringseam.quarantinemessages import QuarantineSnapshot
 from ringseam.retries import WindowRetries
 from ringseam.routes import BackendService, BatchSpec, RouteTable, ServiceName
 from ringseam.sealing import Received
-from ringseam.verdicts import QuarantineNews
 
 if TYPE_CHECKING:
     from ringseam.clock import PausedClock
@@ -197,7 +197,7 @@
         service = BackendService(name=SERVICE, health_path='/', max_connections=9, batching=spec)
         self.table = RouteTable(services={SERVICE: service})
         self.view = BackendView()
-        self.quarantine = QuarantineNews(version=0)
+        self.quarantine = QuarantineSnapshot(version=0)
         self.in_touch = True
         for number in range(servers):
             report = BackendReport(
@@ -207,7 +207,7 @@
                 zone=f'z{number % 6}',
                 sequence=1,
             )
-            self.view.take(report)
+            self.view.apply(report)
         self.gateways = tuple(
             GatewayState(name=f'g{number}', address=f'g{number}:1', zone=f'z{number % 6}')
             for number in range(gateways)
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -27,7 +27,7 @@
 from ringseam.backends import BackendReport, BackendState
 from ringseam.calls import ClientRequest
 from ringseam.layout import Layout, free_address
-from ringseam.lifetimes import backend_id, born_of, name_of
+from ringseam.lifetimes import backend_id, name_of, start_ms_of
 from ringseam.platform.example import (
     ENGINE_SERVICE,
     HOST,
@@ -208,7 +208,7 @@
         earlier = self.instance
         self.proxy.reset()
         await self.http.close()
-        born = max(born_of(earlier) + 1, int(time.time() * 1000))
+        born = max(start_ms_of(earlier) + 1, int(time.time() * 1000))
         self.instance = backend_id(name_of(earlier), born)
         self.sequence = 0
         self.http = HttpServer(handler=self.serve, limits=HttpLimits())
--- a/ringseam/backends.py
+++ b/ringseam/backends.py
@@ -6,13 +6,13 @@
 import types
 from dataclasses import dataclass, field
 
-from ringseam.lifetimes import BackendId, Ended, born_of, name_of
+from ringseam.lifetimes import BackendId, EndedLifetimes, name_of, start_ms_of
 from ringseam.messages import Message
 from ringseam.routes import ServiceName
 from ringseam.zones import DrainedZones
 
 #: How many servers that have left are remembered.
-LEFT_KEPT = 4096
+MAX_DEPARTED = 4096
 #: The sequence of a leave, which carries none: above all others.
 _LAST_SEQUENCE = 2**53
 
@@ -51,11 +51,11 @@
 
 
 @dataclass(kw_only=True)
-class BackendRow:
+class BackendEntry:
     """A report, when it came and the change number it got."""
 
     report: BackendReport
-    heard: float
+    received_at: float
     change: int
 
 
@@ -75,7 +75,7 @@
     return progress > 0 or (progress == 0 and report.sequence > known.sequence)
 
 
-def shows_change(report: BackendReport, known: BackendReport) -> bool:
+def is_visible_change(report: BackendReport, known: BackendReport) -> bool:
     """Return whether followers of the directory must hear of a report."""
     return (
         report.state is not known.state
@@ -85,7 +85,7 @@
     )
 
 
-def report_of_leave(instance: BackendId) -> BackendReport:
+def departure_report(instance: BackendId) -> BackendReport:
     """Return what a lifetime that has ended says of itself: nothing comes after it."""
     return BackendReport(
         instance=instance,
@@ -120,14 +120,14 @@
     #: A directory comes whole: worked out after each of 1,000 reports it took 0.26 s.
     index: BackendIndex | None = None
     #: Servers that have left; a late report doesn't bring them back.
-    left: Ended = field(default_factory=lambda: Ended(kept=LEFT_KEPT))
+    departed: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(kept=MAX_DEPARTED))
     #: Servers that have said in an answer that they leave; a report that came by another
     #: way and calls them ready doesn't bring them back.
-    leaving: Ended = field(default_factory=lambda: Ended(kept=LEFT_KEPT))
+    leaving: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(kept=MAX_DEPARTED))
     #: Availability zones whose servers take no new work.
     drained: DrainedZones = field(default_factory=DrainedZones)
 
-    def drain(self, zones: DrainedZones) -> bool:
+    def drain_zones(self, zones: DrainedZones) -> bool:
         """Let the servers of just these zones take no new work; False: it isn't newer."""
         if zones.change <= self.drained.change:
             return False
@@ -135,38 +135,38 @@
         self.index = None
         return True
 
-    def take(self, report: BackendReport) -> bool:
+    def apply(self, report: BackendReport) -> bool:
         """Take in a report; True when it changed what is believed.
 
         The first report of a later start ends the server's earlier lifetime, and a
         late one of an earlier start changes nothing.
         """
-        if report.instance in self.left or self._is_of_an_earlier_start(report.instance):
+        if report.instance in self.departed or self._is_superseded_lifetime(report.instance):
             return False
         known = self.backends.get(report.instance)
         if known is not None and not supersedes(report, known):
             return False
-        self._end_earlier(report.instance)
+        self._end_previous_lifetime(report.instance)
         if report.state is BackendState.gone:
-            self.leave(report.instance)
+            self.remove_for_good(report.instance)
             return True
         self.backends[report.instance] = report
         self.lifetimes[name_of(report.instance)] = report.instance
         self.index = None
         return True
 
-    def leave(self, instance: BackendId) -> None:
+    def remove_for_good(self, instance: BackendId) -> None:
         """Forget a server for good."""
-        self.left.add(instance)
-        self.lose(instance)
+        self.departed.add(instance)
+        self.remove(instance)
 
-    def note_leaving(self, instance: BackendId) -> None:
+    def mark_leaving(self, instance: BackendId) -> None:
         """Hear from a server itself that it takes no new work; what it runs goes on."""
         if instance not in self.leaving:
             self.leaving.add(instance)
             self.index = None
 
-    def lose(self, instance: BackendId) -> None:
+    def remove(self, instance: BackendId) -> None:
         """Forget a server that fell silent; it may come back."""
         if self.backends.pop(instance, None) is not None:
             self.lifetimes.pop(name_of(instance), None)
@@ -175,31 +175,31 @@
     def keep_only(self, instances: set[BackendId]) -> None:
         """Forget all servers but these."""
         for instance in set(self.backends) - instances:
-            self.lose(instance)
+            self.remove(instance)
 
     def serving(self, service: ServiceName) -> list[BackendReport]:
         """Return the servers of a service that take new work."""
-        return self._indexed().by_service.get(service, [])
+        return self._current_index().by_service.get(service, [])
 
-    def leaving_of(self, service: ServiceName) -> list[BackendId]:
+    def leaving_servers(self, service: ServiceName) -> list[BackendId]:
         """Return the servers of a service that have said in an answer that they leave."""
-        return self._indexed().leaving.get(service, [])
+        return self._current_index().leaving.get(service, [])
 
     @property
     def zones(self) -> dict[str, str]:
         """Return the availability zones by address."""
-        return self._indexed().zones
+        return self._current_index().zones
 
-    def _is_of_an_earlier_start(self, instance: BackendId) -> bool:
+    def _is_superseded_lifetime(self, instance: BackendId) -> bool:
         known = self.lifetimes.get(name_of(instance))
-        return known is not None and born_of(instance) < born_of(known)
+        return known is not None and start_ms_of(instance) < start_ms_of(known)
 
-    def _end_earlier(self, instance: BackendId) -> None:
+    def _end_previous_lifetime(self, instance: BackendId) -> None:
         known = self.lifetimes.get(name_of(instance), instance)
         if known != instance:
-            self.leave(known)
+            self.remove_for_good(known)
 
-    def _indexed(self) -> BackendIndex:
+    def _current_index(self) -> BackendIndex:
         if self.index is None:
             by_service: dict[ServiceName, list[BackendReport]] = {}
             leaving: dict[ServiceName, list[BackendId]] = {}
--- a/ringseam/contents.py
+++ b/ringseam/contents.py
@@ -14,11 +14,11 @@
 ContentId = NewType('ContentId', str)
 
 #: 96 bits: two of a million contents are the same by chance once in 10^17 times.
-_DIGITS = 24
+_ID_HEX_DIGITS = 24
 _LENGTH_BYTES = 4
 
 
-def digest_of(address: Iterable[str], body: bytes, *, secret: bytes) -> ContentId:
+def keyed_content_id(address: Iterable[str], body: bytes, *, secret: bytes) -> ContentId:
     """Return the identity of a body that an address is asked for.
 
     It is logged and sent between hosts, so it is keyed by the cluster's secret: nobody
@@ -34,10 +34,10 @@
         digest.update(len(text).to_bytes(_LENGTH_BYTES, 'big'))
         digest.update(text)
     digest.update(body)
-    return ContentId(digest.hexdigest()[:_DIGITS])
+    return ContentId(digest.hexdigest()[:_ID_HEX_DIGITS])
 
 
-def content_of(request: Request, *, host: str, account: str, secret: bytes) -> ContentId:
+def request_content_id(request: Request, *, host: str, account: str, secret: bytes) -> ContentId:
     """Return the identity of what a client asks for.
 
     The same body sent again by the same account to the same address has the same one,
@@ -47,4 +47,4 @@
     :param account: the client account's name; empty on routes without accounts.
     """
     address = (account, request.method, host, request.target)
-    return digest_of(address, request.body, secret=secret)
+    return keyed_content_id(address, request.body, secret=secret)
--- a/ringseam/control/backenddirectory.py
+++ b/ringseam/control/backenddirectory.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from ringseam.backends import BackendRow, BackendState, shows_change, supersedes
+from ringseam.backends import BackendEntry, BackendState, is_visible_change, supersedes
 from ringseam.following import WatchNews
-from ringseam.lifetimes import Ended, backend_id, born_of, name_of
+from ringseam.lifetimes import EndedLifetimes, backend_id, name_of, start_ms_of
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendId, BackendReport, GatewayState
@@ -45,11 +45,11 @@
     silent_s: float
     #: A gateway is no longer waited for after this long without a call.
     follower_s: float
-    rows: dict[BackendId, BackendRow] = field(default_factory=dict)
+    rows: dict[BackendId, BackendEntry] = field(default_factory=dict)
     #: The lifetime that has a row, by the server's name.
     lifetimes: dict[str, BackendId] = field(default_factory=dict)
     #: Lifetimes that a later start has ended.
-    ended: Ended = field(default_factory=lambda: Ended(kept=_RESTARTED_KEPT))
+    ended: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(kept=_RESTARTED_KEPT))
     dropped: list[tuple[int, BackendId]] = field(default_factory=list)
     followers: dict[str, Follower] = field(default_factory=dict)
     change: int = 0
@@ -65,7 +65,7 @@
         between both is believed: the clock may have been set back.
         """
         current = self.lifetimes.get(name_of(report.instance), report.instance)
-        if report.instance in self.ended or born_of(report.instance) < born_of(current):
+        if report.instance in self.ended or start_ms_of(report.instance) < start_ms_of(current):
             return False
         if current != report.instance:
             self.ended.add(current)
@@ -73,13 +73,13 @@
         known = self.rows.get(report.instance)
         if known is not None and not supersedes(report, known.report):
             if report.sequence == known.report.sequence:
-                known.heard = now
+                known.received_at = now
             return False
         changed = known is None or _is_news(report, known, now)
         if changed:
             self.change += 1
         change = self.change if changed or known is None else known.change
-        self.rows[report.instance] = BackendRow(report=report, heard=now, change=change)
+        self.rows[report.instance] = BackendEntry(report=report, received_at=now, change=change)
         self.lifetimes[name_of(report.instance)] = report.instance
         return changed
 
@@ -99,7 +99,7 @@
 
     def expire(self, now: float) -> list[BackendId]:
         """Drop servers that fell silent and return them."""
-        silent = [name for name, row in self.rows.items() if now - row.heard > self.silent_s]
+        silent = [name for name, row in self.rows.items() if now - row.received_at > self.silent_s]
         for name in silent:
             self._drop(name)
         if len(self.dropped) > _CHANGES_KEPT:
@@ -164,7 +164,7 @@
             gateways=self._gateways(),
         )
 
-    def retire(self, retired: Ended) -> None:
+    def retire(self, retired: EndedLifetimes) -> None:
         """Let servers that are known to leave take no new work."""
         for instance, row in self.rows.items():
             if instance in retired and row.report.state is BackendState.ready:
@@ -177,7 +177,7 @@
 
     def _tells_its_start(self, backend: BackendId) -> bool:
         row = self.rows[backend]
-        return bool(born_of(backend)) and row.report.state is not BackendState.gone
+        return bool(start_ms_of(backend)) and row.report.state is not BackendState.gone
 
     def _drop(self, instance: BackendId) -> None:
         self.rows.pop(instance)
@@ -190,21 +190,21 @@
         self.gateways_change = self.change
 
 
-def _is_news(report: BackendReport, known: BackendRow, now: float) -> bool:
-    return shows_change(report, known.report) or _is_colder(report, known, now)
+def _is_news(report: BackendReport, known: BackendEntry, now: float) -> bool:
+    return is_visible_change(report, known.report) or _is_colder(report, known, now)
 
 
-def _is_colder(report: BackendReport, known: BackendRow, now: float) -> bool:
+def _is_colder(report: BackendReport, known: BackendEntry, now: float) -> bool:
     """Return whether a server says that it is cold for longer than it said before."""
-    until = known.heard + known.report.cold_left_s
+    until = known.received_at + known.report.cold_left_s
     return report.cold_left_s > 0 and now + report.cold_left_s > until + _COLDER_S
 
 
-def _aged(row: BackendRow, now: float) -> BackendReport:
+def _aged(row: BackendEntry, now: float) -> BackendReport:
     """Return a report with what is left of a server's cold time."""
     if not row.report.cold_left_s:
         return row.report
-    left_s = max(0, row.heard + row.report.cold_left_s - now)
+    left_s = max(0, row.received_at + row.report.cold_left_s - now)
     return msgspec.structs.replace(row.report, cold_left_s=left_s)
 
 
--- a/ringseam/control/follow.py
+++ b/ringseam/control/follow.py
@@ -30,7 +30,7 @@
     ReportTaken,
     WatchReply,
 )
-from ringseam.lifetimes import Ended, born_of, name_of
+from ringseam.lifetimes import EndedLifetimes, name_of, start_ms_of
 from ringseam.messages import Empty, Redirect
 from ringseam.zones import DrainedZones
 
@@ -42,9 +42,9 @@
     from ringseam.control.state import RecordedVerdict
     from ringseam.following import Confirmation, WatchRequest
     from ringseam.node import Node
+    from ringseam.quarantinemessages import QuarantineSnapshot
     from ringseam.rpc import CallServer
     from ringseam.sealing import Received
-    from ringseam.verdicts import QuarantineNews
 
 logger = logging.getLogger(__name__)
 
@@ -93,7 +93,7 @@
         self.voters_needed = voters_needed
         self.silent_s = _SILENT_REPORTS * report_s
         self.held = HeldDocument()
-        self.retired = Ended(kept=MAX_RETIRED_BACKENDS)
+        self.retired = EndedLifetimes(kept=MAX_RETIRED_BACKENDS)
         self.leadership = Leadership()
         self.directory = self._new_directory()
         self.changed = asyncio.Event()
@@ -118,7 +118,7 @@
         if held.number > self.held.number:
             self.documents.history.add(held.number, held.document)
         if held.retired != self.held.retired:
-            self.retired = Ended(kept=MAX_RETIRED_BACKENDS)
+            self.retired = EndedLifetimes(kept=MAX_RETIRED_BACKENDS)
             for backend in held.retired:
                 self.retired.add(backend)
         self.held = held
@@ -197,7 +197,7 @@
         """Take a backend server's report; a leave only once it is known."""
         if not self.leadership.can_serve:
             return self.redirect
-        if not born_of(report.instance):
+        if not start_ms_of(report.instance):
             named = self.directory.with_lifetime(report, self.node.clock.wall_ms())
             if named is None:
                 return ReportForeign()
@@ -255,7 +255,7 @@
             return True
         return self.directory.has_news(request, self.held.number)
 
-    def _quarantine_news(self, request: WatchRequest) -> QuarantineNews | None:
+    def _quarantine_news(self, request: WatchRequest) -> QuarantineSnapshot | None:
         same_epoch = request.epoch == self.directory.epoch
         if same_epoch and request.quarantine == self.quarantining.book.version:
             return None
@@ -290,7 +290,7 @@
 
     def _tell_quarantine(self, report: BackendReport) -> None:
         """Let the quarantine hear a server, where it holds something against its like."""
-        if not self.quarantining.book.concerns(report):
+        if not self.quarantining.book.is_affected_by(report):
             return
         software: set[str] = set()
         # A directory that has just begun doesn't know who else runs which version.
@@ -302,7 +302,7 @@
             )
         known = self.directory.lifetimes.get(name_of(report.instance), report.instance)
         # What a replaced lifetime sent before its end is no sign that it lives.
-        lives = born_of(report.instance) >= born_of(known)
+        lives = start_ms_of(report.instance) >= start_ms_of(known)
         self.quarantining.take_report(report, software, lives=lives)
 
     def _new_directory(self) -> BackendDirectory:
--- a/ringseam/control/quarantining.py
+++ b/ringseam/control/quarantining.py
@@ -13,17 +13,17 @@
 from ringseam.control.replicamessages import NotLeading
 from ringseam.events import Event
 from ringseam.quarantine import Quarantine, TrialState, Verdict
-from ringseam.util.tasks import TaskSet
-from ringseam.verdicts import (
-    REPORT_ENDS,
+from ringseam.quarantinemessages import (
+    REPORT_CRASHES,
     REPORT_SERVED,
     TRIAL,
     EvidenceReply,
     Heard,
-    QuarantineNews,
+    QuarantineSnapshot,
     TrialAnswer,
     TrialReply,
 )
+from ringseam.util.tasks import TaskSet
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterator, Mapping
@@ -33,9 +33,9 @@
     from ringseam.lifetimes import BackendId
     from ringseam.messages import Redirect
     from ringseam.node import Node
+    from ringseam.quarantinemessages import CrashReport, ServedReport, ServerCrash, TrialRequest
     from ringseam.rpc import CallServer
     from ringseam.sealing import Received
-    from ringseam.verdicts import EndsReport, ServedReport, ServerEnd, TrialRequest
 
 logger = logging.getLogger(__name__)
 
@@ -79,7 +79,7 @@
                 service=known.service,
                 account=known.account,
                 software=frozenset(known.software),
-                at=now,
+                quarantined_at=now,
                 lifts=known.lifts,
             )
             self.book.restore(ContentId(content), verdict)
@@ -88,7 +88,7 @@
 
     def serve(self, server: CallServer) -> None:
         """Take these calls on a server."""
-        server.add(REPORT_ENDS, self.take_ends)
+        server.add(REPORT_CRASHES, self.take_ends)
         server.add(REPORT_SERVED, self.take_served)
         server.add(TRIAL, self.answer_trial)
 
@@ -97,7 +97,7 @@
         elsewhere = self.redirect()
         if elsewhere is not None:
             return EvidenceReply(reply=elsewhere)
-        report: EndsReport = received.body
+        report: CrashReport = received.body
         for end in report.ends:
             self._take_end(end)
         return EvidenceReply(reply=Heard())
@@ -109,7 +109,7 @@
             return EvidenceReply(reply=elsewhere)
         served: ServedReport = received.body
         with self._telling():
-            self.book.served(served.content, served.software, self.node.clock.now())
+            self.book.record_answer(served.content, served.software, self.node.clock.now())
         return EvidenceReply(reply=Heard())
 
     async def answer_trial(self, received: Received) -> TrialReply:
@@ -119,10 +119,10 @@
             return TrialReply(reply=elsewhere)
         request: TrialRequest = received.body
         if request.over:
-            self.book.conclude(request.content)
+            self.book.finish_trial(request.content)
             return TrialReply(reply=TrialAnswer(state=TrialState.granted.value))
         now = self.node.clock.now()
-        state = self.book.ask(request.content, now, request.lasts_ms / MS_PER_S)
+        state = self.book.request_run(request.content, now, request.lasts_ms / MS_PER_S)
         self.node.events.emit(
             logger,
             Event.trial_asked,
@@ -137,17 +137,17 @@
         """Hear a server, whether it may live, and which versions its service runs."""
         with self._telling():
             if lives:
-                self.book.heard(report.instance, self.node.clock.now())
-            self.book.see_software(report.service, software)
+                self.book.record_report(report.instance, self.node.clock.now())
+            self.book.update_software(report.service, software)
 
-    def news(self) -> QuarantineNews:
+    def news(self) -> QuarantineSnapshot:
         """Return all that gateways hold to."""
         wall = self.node.clock.wall_ms()
         now = self.node.clock.now()
-        return QuarantineNews(
+        return QuarantineSnapshot(
             version=self.book.version,
             quarantined={
-                content: wall - int((now - verdict.at) * MS_PER_S)
+                content: wall - int((now - verdict.quarantined_at) * MS_PER_S)
                 for content, verdict in self.book.verdicts.items()
             },
             suspects=tuple(self.book.suspects),
@@ -174,7 +174,7 @@
         if self.book.version != version:
             self.wake()
 
-    def _take_end(self, end: ServerEnd) -> None:
+    def _take_end(self, end: ServerCrash) -> None:
         planned = self.is_planned(end.instance)
         self.node.events.emit(
             logger,
@@ -187,11 +187,11 @@
         # A planned end says nothing of what was under way.
         if not planned:
             with self._telling():
-                self.book.ended(end, self.node.clock.now())
+                self.book.record_crash(end, self.node.clock.now())
 
     def _judge(self) -> None:
         with self._telling():
-            fallen = self.book.judge(self.node.clock.now())
+            fallen = self.book.evaluate(self.node.clock.now())
         for content in fallen:
             self._record(content)
 
@@ -204,7 +204,7 @@
             content=content,
             account=verdict.account,
             service=verdict.service,
-            ends=sorted(verdict.ends),
+            ends=sorted(verdict.crashes),
             software=software,
         )
         command = RecordVerdict(
--- a/ringseam/control/role.py
+++ b/ringseam/control/role.py
@@ -62,7 +62,7 @@
     FirstConfigReply,
     LeaseReply,
 )
-from ringseam.shares import LEASE_S, ShareBook
+from ringseam.shares import LEASE_S, ShareLeases
 from ringseam.util.actors import ask
 from ringseam.util.ini import split_list
 from ringseam.web.server import HttpLimits, HttpServer
@@ -118,7 +118,7 @@
             voters_needed=target_voters(settings.own),
             report_s=settings.seconds('backend_report_ms'),
         )
-        self.shares: ShareBook | None = None
+        self.shares: ShareLeases | None = None
         self.actor: Any = None
 
     async def open(self) -> None:
@@ -259,7 +259,7 @@
             return LeaseReply(reply=redirected(barrier))
         now = self.node.clock.now()
         if self.shares is None or self.shares.term != barrier.term:
-            self.shares = ShareBook(term=barrier.term, leading_since=now)
+            self.shares = ShareLeases(term=barrier.term, leading_since=now)
         request = received.body
         shares = self.shares.grant(request.entry, request.demands, now)
         return LeaseReply(reply=ShareLease(shares=shares, valid_ms=int(LEASE_S * MS_PER_S)))
--- a/ringseam/entry/guard.py
+++ b/ringseam/entry/guard.py
@@ -9,12 +9,12 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ringseam.contents import digest_of
+from ringseam.contents import keyed_content_id
 from ringseam.events import Event
 from ringseam.lifetimes import BackendId
 from ringseam.messages import StageDone
 from ringseam.quarantine import Quarantine, TrialState
-from ringseam.verdicts import ServerEnd, Suspect
+from ringseam.quarantinemessages import ServerCrash, Suspect
 
 if TYPE_CHECKING:
     from ringseam.config import Stage
@@ -38,38 +38,38 @@
     def content_of(self, request: CallerRequest) -> ContentId:
         """Return what a caller asks for, whatever its key."""
         address = (request.account.name, request.pipeline.name, request.content_type)
-        return digest_of(address, request.body, secret=self.node.secret)
+        return keyed_content_id(address, request.body, secret=self.node.secret)
 
     def admit(self, ask: Ask) -> TrialState:
         """Return whether an ask may run now; a run on trial goes on."""
         now = self.node.clock.now()
-        for fallen in self.book.judge(now):
+        for fallen in self.book.evaluate(now):
             self.node.events.emit(
                 logger,
                 Event.content_quarantined,
                 content=fallen,
-                ends=sorted(self.book.verdicts[fallen].ends),
+                ends=sorted(self.book.verdicts[fallen].crashes),
             )
         if ask.on_trial and ask.content_id not in self.book.verdicts:
             return TrialState.granted
-        state = self.book.ask(ask.content_id, now, ask.left_s(now))
-        ask.on_trial = state is TrialState.granted and ask.content_id in self.book.trials
+        state = self.book.request_run(ask.content_id, now, ask.left_s(now))
+        ask.on_trial = state is TrialState.granted and ask.content_id in self.book.trial_deadlines
         return state
 
     def note(self, ask: Ask, stage: Stage, agent: AgentState, reply: StageReply) -> None:
         """Hear how a try ended: the server bore it, has ended, or neither is known."""
         now = self.node.clock.now()
         if isinstance(reply, StageDone):
-            self.book.served(ask.content_id, stage.model, now)
+            self.book.record_answer(ask.content_id, stage.model, now)
         elif getattr(reply, 'server_ended', False):
             suspect = Suspect(content=ask.content_id, account=ask.account.name)
-            end = ServerEnd(
+            end = ServerCrash(
                 instance=BackendId(agent.name),
                 service=stage.pool,
                 software=stage.model,
                 suspects=(suspect,),
             )
-            self.book.ended(end, now)
+            self.book.record_crash(end, now)
             # One run is what was granted: its retry asks anew.
             self.conclude(ask)
             ask.on_trial = False
@@ -84,4 +84,4 @@
     def conclude(self, ask: Ask) -> None:
         """Hear that an ask is over."""
         if ask.on_trial:
-            self.book.conclude(ask.content_id)
+            self.book.finish_trial(ask.content_id)
--- a/ringseam/evidence.py
+++ b/ringseam/evidence.py
@@ -17,189 +17,195 @@
 
     from ringseam.contents import ContentId
     from ringseam.lifetimes import BackendId
-    from ringseam.verdicts import ServerEnd, Suspect
+    from ringseam.quarantinemessages import ServerCrash, Suspect
 
 #: Gateways that tell of one end agree on its time to this, seconds; a server that has
 #: ended is back after a second or more.
-SAME_END_S = 0.8
+SAME_CRASH_TOLERANCE_S = 0.8
 #: Ends count for this long, seconds: a client that repeats does so within minutes.
-EVIDENCE_S = 600.0
+EVIDENCE_RETENTION_S = 600.0
 #: A content that was served whole isn't suspected for this long, seconds. What is asked
 #: for often, such as a fixed signal, is under way at each end and behind none; what is
 #: asked for less often is at three ends by chance too rarely to need it.
-SERVED_S = 20.0
+RECENT_ANSWER_S = 20.0
 #: So many reports of a lifetime show that it lives, so long after its end and so far
 #: apart, seconds. What it sent before may come late by seconds, and all at once when a
 #: cut has held it up; a server that lives goes on reporting.
-REPORTS_OF_LIFE = 2
-LIFE_SHOWS_S = 5.0
-REPORTS_APART_S = 1.0
+REPORTS_TO_REFUTE = 2
+REFUTE_DELAY_S = 5.0
+REPORT_SPACING_S = 1.0
 #: How many ends, suspects of one end and served contents are remembered. At 100 bytes
 #: each that is 7 MB at most, while every server of a large fleet ends.
-ENDS_KEPT = 128
-SUSPECTS_KEPT = 512
-SERVED_KEPT = 4096
+MAX_CRASHES = 128
+MAX_SUSPECTS_PER_CRASH = 512
+MAX_RECENT_ANSWERS = 4096
 
 #: Names one end of a server.
 EndId = NewType('EndId', str)
 
 
 @dataclass(kw_only=True)
-class ServedLately:
+class RecentAnswers:
     """Contents that servers have run and answered, by the version of their software."""
 
-    served_at: dict[tuple[ContentId, str], float] = field(default_factory=dict)
+    answered_at: dict[tuple[ContentId, str], float] = field(default_factory=dict)
 
-    def note(self, content: ContentId, software: str, now: float) -> None:
+    def record(self, content: ContentId, software: str, now: float) -> None:
         """Hear of an answer."""
-        self.served_at.pop((content, software), None)
-        self.served_at[content, software] = now
-        if len(self.served_at) > SERVED_KEPT:
-            self.served_at.pop(next(iter(self.served_at)))
+        self.answered_at.pop((content, software), None)
+        self.answered_at[content, software] = now
+        if len(self.answered_at) > MAX_RECENT_ANSWERS:
+            self.answered_at.pop(next(iter(self.answered_at)))
 
-    def has(self, content: ContentId, software: str, now: float) -> bool:
+    def contains(self, content: ContentId, software: str, now: float) -> bool:
         """Return whether a content was answered a short while ago."""
-        return now - self.served_at.get((content, software), float('-inf')) < SERVED_S
+        return now - self.answered_at.get((content, software), float('-inf')) < RECENT_ANSWER_S
 
 
 @dataclass(kw_only=True)
-class EndRecord:
+class CrashRecord:
     """One end of a server; times are absolute seconds."""
 
     #: The lifetime that gateways knew then.
     instance: BackendId
     service: str
     software: str
-    at: float
+    crashed_at: float
     #: When a gateway last told of it.
-    heard_at: float
+    last_told_at: float
     #: Accounts by content.
     suspects: dict[ContentId, str] = field(default_factory=dict)
     #: How often the lifetime has reported since, and when it last did.
     reports: int = 0
-    reported_at: float = float('-inf')
+    last_report_at: float = float('-inf')
 
-    def shows_life(self, now: float) -> bool:
+    def record_report(self, now: float) -> bool:
         """Hear a report of the lifetime; return whether it has not ended after all."""
-        apart = now - self.reported_at >= REPORTS_APART_S
-        if apart and now - self.at > LIFE_SHOWS_S:
+        apart = now - self.last_report_at >= REPORT_SPACING_S
+        if apart and now - self.crashed_at > REFUTE_DELAY_S:
             self.reports += 1
-            self.reported_at = now
-        return self.reports >= REPORTS_OF_LIFE
+            self.last_report_at = now
+        return self.reports >= REPORTS_TO_REFUTE
 
 
 @dataclass(kw_only=True)
 class Evidence:
     """Ends of servers, with the contents that were under way there."""
 
-    ends: dict[EndId, EndRecord] = field(default_factory=dict)
-    by_instance: dict[BackendId, set[EndId]] = field(default_factory=dict)
-    by_content: dict[ContentId, set[EndId]] = field(default_factory=dict)
-    #: Contents that were under way at more than one end.
-    repeated: set[ContentId] = field(default_factory=set)
-    answered: ServedLately = field(default_factory=ServedLately)
+    crashes: dict[EndId, CrashRecord] = field(default_factory=dict)
+    crashes_by_instance: dict[BackendId, set[EndId]] = field(default_factory=dict)
+    crashes_by_content: dict[ContentId, set[EndId]] = field(default_factory=dict)
+    #: Contents that were under way at more than one crash.
+    recurring: set[ContentId] = field(default_factory=set)
+    recent_answers: RecentAnswers = field(default_factory=RecentAnswers)
 
-    def add(self, end: ServerEnd, now: float) -> None:
+    def record_crash(self, crash: ServerCrash, now: float) -> None:
         """Hear from one gateway what was under way on a lifetime that ended."""
-        end_id, record = self._record_of(end, now - end.age_ms / MS_PER_S)
-        record.heard_at = now
-        for suspect in end.suspects:
-            self._suspect(end_id, record, suspect, now)
-        self._forget(now)
+        crash_id, record = self._find_or_add(crash, now - crash.age_ms / MS_PER_S)
+        record.last_told_at = now
+        for suspect in crash.suspects:
+            self._add_suspect(crash_id, record, suspect, now)
+        self._expire(now)
 
-    def refute(self, instance: BackendId, now: float) -> list[EndId]:
+    def remove_refuted(self, instance: BackendId, now: float) -> list[EndId]:
         """Hear a report of a lifetime; return its ends that were none, now dropped."""
         refuted = [
-            end_id
-            for end_id in self.by_instance.get(instance, ())
-            if self.ends[end_id].shows_life(now)
+            crash_id
+            for crash_id in self.crashes_by_instance.get(instance, ())
+            if self.crashes[crash_id].record_report(now)
         ]
-        for end_id in refuted:
-            self._drop(end_id)
+        for crash_id in refuted:
+            self._remove_crash(crash_id)
         return refuted
 
-    def served(self, content: ContentId, software: str, now: float) -> None:
+    def record_answer(self, content: ContentId, software: str, now: float) -> None:
         """Hear that a server has run a content and answered: it ends no such server."""
-        self.answered.note(content, software, now)
-        for end_id in list(self.by_content.get(content, ())):
-            if self.ends[end_id].software == software:
-                self._clear(content, end_id)
+        self.recent_answers.record(content, software, now)
+        for crash_id in list(self.crashes_by_content.get(content, ())):
+            if self.crashes[crash_id].software == software:
+                self._remove_suspect(content, crash_id)
 
     def forget_content(self, content: ContentId) -> None:
-        """Let a content begin anew, without an end."""
-        for end_id in list(self.by_content.get(content, ())):
-            self._clear(content, end_id)
+        """Let a content begin anew, without an crash."""
+        for crash_id in list(self.crashes_by_content.get(content, ())):
+            self._remove_suspect(content, crash_id)
 
-    def ends_of(self, content: ContentId) -> set[EndId]:
+    def crashes_of(self, content: ContentId) -> set[EndId]:
         """Return the ends that a content was under way at."""
-        return self.by_content.get(content, set())
+        return self.crashes_by_content.get(content, set())
 
-    def has_twin(self, content: ContentId, ends: Iterable[EndId]) -> bool:
+    def is_ambiguous(self, content: ContentId, crashes: Iterable[EndId]) -> bool:
         """Return whether another content was under way at all these ends."""
-        twins = [self.ends[end_id].suspects.keys() - {content} for end_id in ends]
-        return bool(twins and set.intersection(*twins))
+        others_by_crash = [
+            self.crashes[crash_id].suspects.keys() - {content} for crash_id in crashes
+        ]
+        return bool(others_by_crash and set.intersection(*others_by_crash))
 
     # -- helpers ------------------------------------------------------------
 
-    def _record_of(self, end: ServerEnd, at: float) -> tuple[EndId, EndRecord]:
-        """Return what is known of an end, from this gateway or another one.
+    def _find_or_add(self, crash: ServerCrash, at: float) -> tuple[EndId, CrashRecord]:
+        """Return what is known of an crash, from this gateway or another one.
 
         A server that has started again may take requests before its new lifetime is
         known, so an end that is later by far is another one of the same name.
         """
-        for known in self.by_instance.get(end.instance, ()):
-            if abs(self.ends[known].at - at) < SAME_END_S:
-                return known, self.ends[known]
-        record = EndRecord(
-            instance=end.instance,
-            service=end.service,
-            software=end.software,
-            at=at,
-            heard_at=at,
+        for known in self.crashes_by_instance.get(crash.instance, ()):
+            if abs(self.crashes[known].crashed_at - at) < SAME_CRASH_TOLERANCE_S:
+                return known, self.crashes[known]
+        record = CrashRecord(
+            instance=crash.instance,
+            service=crash.service,
+            software=crash.software,
+            crashed_at=at,
+            last_told_at=at,
         )
-        end_id = EndId(f'{end.instance}@{at:.2f}')
-        self.ends[end_id] = record
-        self.by_instance.setdefault(end.instance, set()).add(end_id)
-        return end_id, record
+        crash_id = EndId(f'{crash.instance}@{at:.2f}')
+        self.crashes[crash_id] = record
+        self.crashes_by_instance.setdefault(crash.instance, set()).add(crash_id)
+        return crash_id, record
 
-    def _suspect(
+    def _add_suspect(
         self,
-        end_id: EndId,
-        record: EndRecord,
+        crash_id: EndId,
+        record: CrashRecord,
         suspect: Suspect,
         now: float,
     ) -> None:
         content = suspect.content
-        bears_it = self.answered.has(content, record.software, now)
-        if bears_it or len(record.suspects) >= SUSPECTS_KEPT:
+        is_harmless = self.recent_answers.contains(content, record.software, now)
+        if is_harmless or len(record.suspects) >= MAX_SUSPECTS_PER_CRASH:
             return
         record.suspects[content] = suspect.account
-        known = self.by_content.setdefault(content, set())
-        known.add(end_id)
+        known = self.crashes_by_content.setdefault(content, set())
+        known.add(crash_id)
         if len(known) > 1:
-            self.repeated.add(content)
+            self.recurring.add(content)
 
-    def _clear(self, content: ContentId, end_id: EndId) -> None:
-        self.ends[end_id].suspects.pop(content, None)
-        known = self.by_content[content]
-        known.discard(end_id)
+    def _remove_suspect(self, content: ContentId, crash_id: EndId) -> None:
+        self.crashes[crash_id].suspects.pop(content, None)
+        known = self.crashes_by_content[content]
+        known.discard(crash_id)
         if len(known) <= 1:
-            self.repeated.discard(content)
+            self.recurring.discard(content)
         if not known:
-            self.by_content.pop(content)
-
-    def _drop(self, end_id: EndId) -> None:
-        for content in list(self.ends[end_id].suspects):
-            self._clear(content, end_id)
-        instance = self.ends.pop(end_id).instance
-        known = self.by_instance[instance]
-        known.discard(end_id)
+            self.crashes_by_content.pop(content)
+
+    def _remove_crash(self, crash_id: EndId) -> None:
+        for content in list(self.crashes[crash_id].suspects):
+            self._remove_suspect(content, crash_id)
+        instance = self.crashes.pop(crash_id).instance
+        known = self.crashes_by_instance[instance]
+        known.discard(crash_id)
         if not known:
-            self.by_instance.pop(instance)
+            self.crashes_by_instance.pop(instance)
 
-    def _forget(self, now: float) -> None:
-        old = [name for name, record in self.ends.items() if now - record.at > EVIDENCE_S]
-        surplus = list(self.ends)[: max(0, len(self.ends) - ENDS_KEPT)]
+    def _expire(self, now: float) -> None:
+        old = [
+            name
+            for name, record in self.crashes.items()
+            if now - record.crashed_at > EVIDENCE_RETENTION_S
+        ]
+        surplus = list(self.crashes)[: max(0, len(self.crashes) - MAX_CRASHES)]
         forgotten = {*old, *surplus}
-        for end_id in forgotten:
-            self._drop(end_id)
+        for crash_id in forgotten:
+            self._remove_crash(crash_id)
--- a/ringseam/following.py
+++ b/ringseam/following.py
@@ -6,8 +6,8 @@
 
 from ringseam.backends import BackendId, BackendReport, GatewayState
 from ringseam.messages import Empty, Message, Redirect, Tagged
+from ringseam.quarantinemessages import QuarantineSnapshot
 from ringseam.rpc import Method
-from ringseam.verdicts import QuarantineNews
 from ringseam.zones import DrainedZones
 
 
@@ -53,7 +53,7 @@
     gateways: tuple[GatewayState, ...] = ()
     control: tuple[str, ...] = ()
     #: Contents that end servers; None: nothing new.
-    quarantine: Optional[QuarantineNews] = None
+    quarantine: Optional[QuarantineSnapshot] = None
     zones: DrainedZones = DrainedZones()
 
 
--- a/ringseam/gateway/engines/client.py
+++ b/ringseam/gateway/engines/client.py
@@ -192,7 +192,7 @@
 
     def _avoided(self, work: Work) -> tuple[str, ...]:
         """Return the servers that the owner, which may not know it, shall not choose."""
-        leaving = self.follower.view.leaving_of(work.service)
+        leaving = self.follower.view.leaving_servers(work.service)
         return tuple(work.tries.tried.union(self._paused(work), leaving))
 
     def _paused(self, work: Work) -> list[BackendId]:
--- a/ringseam/gateway/following/ends.py
+++ b/ringseam/gateway/following/ends.py
@@ -14,11 +14,11 @@
 from ringseam.clock import MS_PER_S
 from ringseam.errors import UnreachableError
 from ringseam.events import Event
-from ringseam.evidence import EVIDENCE_S
+from ringseam.evidence import EVIDENCE_RETENTION_S
 from ringseam.gateway.following.underway import UnderWay
 from ringseam.messages import Redirect
+from ringseam.quarantinemessages import REPORT_CRASHES, CrashReport, ServerCrash
 from ringseam.util.tasks import TaskSet
-from ringseam.verdicts import REPORT_ENDS, EndsReport, ServerEnd
 from ringseam.web.client import ChannelError, RefusedError
 
 if TYPE_CHECKING:
@@ -26,13 +26,13 @@
 
     from ringseam.backends import BackendReport
     from ringseam.contents import ContentId
-    from ringseam.evidence import ServedLately
+    from ringseam.evidence import RecentAnswers
     from ringseam.gateway.following.follower import Follower
     from ringseam.gateway.following.health import HealthBook
     from ringseam.lifetimes import BackendId
     from ringseam.node import Node
+    from ringseam.quarantinemessages import Suspect
     from ringseam.rpc import CallClient
-    from ringseam.verdicts import Suspect
     from ringseam.web.client import ChannelPool
 
 logger = logging.getLogger(__name__)
@@ -72,7 +72,7 @@
     """An end that was seen here, and whether the leader of now has heard of it."""
 
     at: float
-    end: ServerEnd
+    end: ServerCrash
     told: bool = False
 
     def forget(self, content: ContentId, software: str) -> None:
@@ -81,7 +81,7 @@
             suspects = tuple(one for one in self.end.suspects if one.content != content)
             self.end = msgspec.structs.replace(self.end, suspects=suspects)
 
-    def report(self, now: float) -> ServerEnd:
+    def report(self, now: float) -> ServerCrash:
         """Return what the leader is told of it."""
         return msgspec.structs.replace(self.end, age_ms=int((now - self.at) * MS_PER_S))
 
@@ -97,8 +97,8 @@
         follower: Follower,
         health: HealthBook,
         pool: ChannelPool,
-        served: ServedLately,
-        on_end: Callable[[ServerEnd, float], None],
+        served: RecentAnswers,
+        on_end: Callable[[ServerCrash, float], None],
     ) -> None:
         """Tell the leader that ``follower`` follows, and ``on_end`` before.
 
@@ -229,14 +229,15 @@
         self.health.failed(server.instance, self.clock.now(), hard=True)
         if not suspects:
             return
-        end = ServerEnd(
+        end = ServerCrash(
             instance=server.instance,
             service=server.service,
             software=server.software,
             suspects=tuple(
                 suspect
                 for suspect in suspects
-                if suspect.content and not self.served.has(suspect.content, server.software, at)
+                if suspect.content
+                and not self.served.contains(suspect.content, server.software, at)
             ),
         )
         self.node.events.emit(
@@ -252,7 +253,9 @@
         await self._tell([seen], ASK_S)
 
     def _untold(self, now: float) -> list[SeenEnd]:
-        return [seen for seen in self.seen if not seen.told and now - seen.at < EVIDENCE_S]
+        return [
+            seen for seen in self.seen if not seen.told and now - seen.at < EVIDENCE_RETENTION_S
+        ]
 
     def _tell_untold(self) -> None:
         untold = self._untold(self.clock.now())
@@ -263,10 +266,10 @@
         if not self.follower.in_touch:
             return
         self.told_at = self.clock.now()
-        report = EndsReport(ends=tuple(seen.report(self.told_at) for seen in untold))
+        report = CrashReport(ends=tuple(seen.report(self.told_at) for seen in untold))
         leader, epoch = self.follower.leader, self.follower.epoch
         try:
-            received = await self.client.call(leader, REPORT_ENDS, report, timeout_s=limit_s)
+            received = await self.client.call(leader, REPORT_CRASHES, report, timeout_s=limit_s)
         except UnreachableError as error:
             logger.debug('ends not told: %s', error)
             return
--- a/ringseam/gateway/following/follower.py
+++ b/ringseam/gateway/following/follower.py
@@ -18,9 +18,9 @@
 from ringseam.gateway.following.confinement import Confinement
 from ringseam.gateway.following.documentfetch import DocumentFetch
 from ringseam.platform.manifest import decode_manifest
+from ringseam.quarantinemessages import QuarantineSnapshot
 from ringseam.routes import RouteTable
 from ringseam.util.tasks import TaskSet
-from ringseam.verdicts import QuarantineNews
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
@@ -81,7 +81,7 @@
         self.gateways: tuple[GatewayState, ...] = ()
         self.epoch = ''
         #: Contents that end servers, as the leader has told.
-        self.quarantine = QuarantineNews(version=0)
+        self.quarantine = QuarantineSnapshot(version=0)
         self.confinement = Confinement()
         self.coldness = ColdBook()
         self.held = HeldDirectory()
@@ -175,7 +175,7 @@
         for report in news.reports:
             self._take_report(report)
         for instance in news.silent:
-            self.view.lose(instance)
+            self.view.remove(instance)
         self._take_quarantine(news)
         self.epoch = news.epoch
         self.held.since = news.upto
@@ -268,12 +268,12 @@
         self.confinement.keep_only(held.confined)
 
     def _take_report(self, report: BackendReport) -> None:
-        if self.view.take(report) and report.cold_left_s:
+        if self.view.apply(report) and report.cold_left_s:
             self.coldness.note(report.instance, self.node.clock.now() + report.cold_left_s)
 
     def _take_zones(self, zones: DrainedZones) -> None:
         restored = set(self.view.drained.names) - set(zones.names)
-        if not self.view.drain(zones):
+        if not self.view.drain_zones(zones):
             return
         self._note_restored(restored)
         self.node.events.emit(
--- a/ringseam/gateway/following/guard.py
+++ b/ringseam/gateway/following/guard.py
@@ -13,19 +13,19 @@
 from ringseam.clock import MS_PER_S
 from ringseam.errors import UnreachableError
 from ringseam.events import Event
-from ringseam.evidence import EVIDENCE_S, ServedLately
+from ringseam.evidence import EVIDENCE_RETENTION_S, RecentAnswers
 from ringseam.gateway.following.ends import ASK_S, EndReports
 from ringseam.messages import Redirect
 from ringseam.quarantine import Quarantine, TrialState
-from ringseam.util.tasks import TaskSet
-from ringseam.verdicts import (
+from ringseam.quarantinemessages import (
     REPORT_SERVED,
     TRIAL,
-    QuarantineNews,
+    QuarantineSnapshot,
     ServedReport,
-    ServerEnd,
+    ServerCrash,
     TrialRequest,
 )
+from ringseam.util.tasks import TaskSet
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendReport
@@ -61,7 +61,7 @@
         self.clock = node.clock
         self.client = client
         self.follower = follower
-        self.served = ServedLately()
+        self.served = RecentAnswers()
         #: What this gateway would judge by itself.
         self.local = Quarantine()
         self.tasks = TaskSet()
@@ -77,7 +77,7 @@
             on_end=self._note_end,
         )
         #: The news and the leadership that were last looked at.
-        self.news = QuarantineNews(version=0)
+        self.news = QuarantineSnapshot(version=0)
         self.epoch = ''
 
     # -- what is sent and what becomes of it --------------------------------
@@ -85,9 +85,9 @@
     def answered(self, server: BackendReport, content: ContentId) -> None:
         """Hear that a server has answered a content with success: it bears it."""
         now = self.clock.now()
-        self.served.note(content, server.software, now)
-        if content in self.local.evidence.by_content or self._is_told(content):
-            self.local.served(content, server.software, now)
+        self.served.record(content, server.software, now)
+        if content in self.local.evidence.crashes_by_content or self._is_told(content):
+            self.local.record_answer(content, server.software, now)
             self.ends.forget_content(content, server.software)
             self._tell_served(content, server.software)
 
@@ -152,16 +152,16 @@
             )
         self.news = news
         now = self.clock.now()
-        for known, software in list(self.served.served_at):
-            if known in news.suspects and self.served.has(known, software, now):
+        for known, software in list(self.served.answered_at):
+            if known in news.suspects and self.served.contains(known, software, now):
                 self._tell_served(known, software)
 
     def judge(self) -> None:
         """Judge by what was seen here, for times without a leader."""
         now = self.clock.now()
-        self.local.judge(now)
+        self.local.evaluate(now)
         self.ends.look(now)
-        oldest = now - EVIDENCE_S
+        oldest = now - EVIDENCE_RETENTION_S
         self.ended_at = {name: at for name, at in self.ended_at.items() if at > oldest}
 
     # -- helpers ------------------------------------------------------------
@@ -174,8 +174,8 @@
         """
         return self.ended_at.get(content, float('-inf')) < trial_at
 
-    def _note_end(self, end: ServerEnd, at: float) -> None:
-        self.local.ended(end, at)
+    def _note_end(self, end: ServerCrash, at: float) -> None:
+        self.local.record_crash(end, at)
         for suspect in end.suspects:
             if self._is_suspected(suspect.content):
                 self.ended_at[suspect.content] = at
@@ -192,11 +192,11 @@
         if self.follower.in_touch:
             await self.ends.settle()
             return await self._ask_leader(content, lasts_s)
-        return self.local.ask(content, self.clock.now(), lasts_s)
+        return self.local.request_run(content, self.clock.now(), lasts_s)
 
     async def _withdraw(self, content: ContentId) -> None:
         """Let another run on trial begin."""
-        self.local.conclude(content)
+        self.local.finish_trial(content)
         if self.follower.in_touch:
             await self._tell_over(content)
 
--- a/ringseam/gateway/following/serverwords.py
+++ b/ringseam/gateway/following/serverwords.py
@@ -46,7 +46,7 @@
             self._note_pause(instance, marks, marks.pause_s)
         if marks.leaving and instance not in self.leaving:
             self.leaving.add(instance)
-            self.view.note_leaving(instance)
+            self.view.mark_leaving(instance)
             self.node.events.emit(
                 logger,
                 Event.server_leaving,
--- a/ringseam/gateway/following/underway.py
+++ b/ringseam/gateway/following/underway.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from ringseam.lifetimes import BackendId
-    from ringseam.verdicts import Suspect
+    from ringseam.quarantinemessages import Suspect
 
 
 @dataclass(kw_only=True)
--- a/ringseam/gateway/requests/attempts.py
+++ b/ringseam/gateway/requests/attempts.py
@@ -157,7 +157,7 @@
     def _forget_replaced(self, server: BackendReport, outcome: TryOutcome) -> None:
         """Forget a server whose address another one has: a late report named it."""
         if isinstance(outcome, NotRun) and outcome.status == _MISDIRECTED:
-            self.follower.view.lose(server.instance)
+            self.follower.view.remove(server.instance)
 
     def _note_lost(self, work: Work, server: BackendReport, outcome: TryOutcome) -> None:
         if isinstance(outcome, Lost) and outcome.cause is LossCause.connection:
--- a/ringseam/gateway/requests/directtries.py
+++ b/ringseam/gateway/requests/directtries.py
@@ -9,7 +9,7 @@
 from ringseam.gateway.work import Answered, NotRun, Quarantined
 from ringseam.quarantine import TrialState
 from ringseam.retries import Retry
-from ringseam.tries import Tries, TryEnd
+from ringseam.tries import TryLoop, TryResult
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendReport
@@ -19,7 +19,7 @@
     from ringseam.gateway.work import TryOutcome, Work
 
 
-class DirectTries(Tries['BackendReport']):
+class DirectTries(TryLoop['BackendReport']):
     """Send a request to one backend server after another, with what its stages made."""
 
     def __init__(
@@ -57,16 +57,16 @@
         """Return the server's incarnation."""
         return server.instance
 
-    async def send(self, server: BackendReport) -> TryEnd:
+    async def send(self, server: BackendReport) -> TryResult:
         """Send once and pass the answer on, if there is one."""
         self.outcome = await self._send_with_inputs(server)
         if isinstance(self.outcome, Answered):
-            return TryEnd.final
+            return TryResult.final
         if isinstance(self.outcome, NotRun):
-            return TryEnd.refused if self.outcome.reached else TryEnd.unsent
-        return TryEnd.lost
+            return TryResult.refused if self.outcome.reached else TryResult.unsent
+        return TryResult.lost
 
-    def draw(self) -> bool:
+    def take_retry(self) -> bool:
         """Take a retry from the budget of the service."""
         retry = Retry(service=self.work.service, now=self.attempts.clock.now())
         return self.attempts.retries.may_retry(retry)
--- a/ringseam/gateway/requests/forwarding.py
+++ b/ringseam/gateway/requests/forwarding.py
@@ -6,7 +6,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from ringseam.contents import content_of
+from ringseam.contents import request_content_id
 from ringseam.events import Event
 from ringseam.gateway.following.guard import COME_BACK_S as SUSPECT_COME_BACK_S
 from ringseam.gateway.requests.admission import LAST_SERVER_S, Admission
@@ -152,7 +152,7 @@
             route=route,
             service=self._target(route),
             account=account,
-            content_id=content_of(
+            content_id=request_content_id(
                 exchange.request,
                 host=request.host,
                 account=account.name if account else '',
@@ -201,7 +201,7 @@
         return state is TrialState.granted
 
     async def _run(self, work: Work) -> None:
-        self.attempts.retries.requested(work.service, self.clock.now())
+        self.attempts.retries.record_request(work.service, self.clock.now())
         if not self._may_run(work):
             await self.answers.refuse(
                 work.exchange,
--- a/ringseam/gateway/stages/client.py
+++ b/ringseam/gateway/stages/client.py
@@ -30,8 +30,8 @@
 from ringseam.gateway.worth import Precedence
 from ringseam.messages import Empty
 from ringseam.platform.stages import PieceFault, PieceResult
+from ringseam.quarantinemessages import Suspect
 from ringseam.util.tasks import TaskSet
-from ringseam.verdicts import Suspect
 
 if TYPE_CHECKING:
     from collections.abc import Collection
--- a/ringseam/gateway/stages/jobs.py
+++ b/ringseam/gateway/stages/jobs.py
@@ -8,7 +8,7 @@
 
 from ringseam.contents import ContentId
 from ringseam.gateway.worth import Precedence
-from ringseam.verdicts import Suspect
+from ringseam.quarantinemessages import Suspect
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendId, BackendReport
--- a/ringseam/gateway/stages/scheduler.py
+++ b/ringseam/gateway/stages/scheduler.py
@@ -111,7 +111,7 @@
         pieces = state.batcher.add(job, self.node.clock.now())
         job_results = JobResults(pieces=pieces)
         state.waiters.update(dict.fromkeys(pieces, job_results))
-        self.retries.requested(job.service, self.node.clock.now())
+        self.retries.record_request(job.service, self.node.clock.now())
         self._dispatch(job.service)
         try:
             async with asyncio.timeout(max(0, job.deadline - self.node.clock.now())):
--- a/ringseam/gateway/work.py
+++ b/ringseam/gateway/work.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING, Union
 
 from ringseam.gateway.worth import Precedence, rank_of
+from ringseam.quarantinemessages import Suspect
 from ringseam.tries import TryRecord
-from ringseam.verdicts import Suspect
 
 if TYPE_CHECKING:
     from ringseam.calls import AnswerMarks, ClientRequest
@@ -72,7 +72,9 @@
 
     def __post_init__(self) -> None:
         """Begin without a try."""
-        self.tries = TryRecord(repeatable=self.route.repeatable, most=self.route.max_attempts)
+        self.tries = TryRecord(
+            repeatable=self.route.repeatable, max_servers=self.route.max_attempts
+        )
 
     @property
     def suspect(self) -> Suspect:
--- a/ringseam/lifetimes.py
+++ b/ringseam/lifetimes.py
@@ -17,12 +17,12 @@
 SEPARATOR = '#'
 
 
-def backend_id(name: str, born: int) -> BackendId:
+def backend_id(name: str, start_ms: int) -> BackendId:
     """Return the lifetime of a start.
 
-    :param born: Unix time in ms; 0 stands for a server that doesn't tell it.
+    :param start_ms: Unix time in ms; 0 stands for a server that doesn't tell it.
     """
-    return BackendId(f'{name}{SEPARATOR}{born}' if born else name)
+    return BackendId(f'{name}{SEPARATOR}{start_ms}' if start_ms else name)
 
 
 def name_of(backend: str) -> str:
@@ -30,26 +30,26 @@
     return backend.partition(SEPARATOR)[0]
 
 
-def born_of(backend: str) -> int:
+def start_ms_of(backend: str) -> int:
     """Return when a lifetime began, Unix time in ms; 0: unknown."""
     return int(backend.partition(SEPARATOR)[2] or 0)
 
 
-class Ended:
+class EndedLifetimes:
     """The latest lifetime that has ended under each name; oldest ends first."""
 
     def __init__(self, *, kept: int) -> None:
         """Remember the ends of ``kept`` names."""
         self.kept = kept
-        self.born: dict[str, int] = {}
+        self.start_ms: dict[str, int] = {}
 
     def add(self, backend: str) -> None:
         """Hear that a lifetime has ended."""
         name = name_of(backend)
-        latest = max(born_of(backend), self.born.pop(name, 0))
-        self.born[name] = latest
-        if len(self.born) > self.kept:
-            self.born.pop(next(iter(self.born)))
+        latest = max(start_ms_of(backend), self.start_ms.pop(name, 0))
+        self.start_ms[name] = latest
+        if len(self.start_ms) > self.kept:
+            self.start_ms.pop(next(iter(self.start_ms)))
 
     def __contains__(self, backend: str) -> bool:
         """Return whether a lifetime has ended, it or a later one under its name.
@@ -57,5 +57,5 @@
         A clock that was set back makes a new start look like an earlier one; it is
         taken for a late message then, as the two can't be told apart.
         """
-        latest = self.born.get(name_of(backend))
-        return latest is not None and born_of(backend) <= latest
+        latest = self.start_ms.get(name_of(backend))
+        return latest is not None and start_ms_of(backend) <= latest
--- a/ringseam/model/experiment.py
+++ b/ringseam/model/experiment.py
@@ -121,7 +121,7 @@
         for gateway in self.gateways:
             gateway.know(states)
             for report in self._reports():
-                gateway.follower.view.take(report)
+                gateway.follower.view.apply(report)
         clients = Clients(
             pattern=self.pattern,
             clock=self.clock,
@@ -231,7 +231,7 @@
         change = self.drained.change + 1
         self.drained = DrainedZones(change=change, names=tuple(sorted(names)))
         for gateway in self.gateways:
-            gateway.follower.view.drain(self.drained)
+            gateway.follower.view.drain_zones(self.drained)
             gateway.works.refresh()
 
     async def _strike(self, event: PatternEvent, report: BackendReport) -> None:
@@ -258,7 +258,7 @@
     def _notice(self, report: BackendReport) -> None:
         if self._server(report).down:
             for gateway in self.gateways:
-                gateway.follower.view.lose(report.instance)
+                gateway.follower.view.remove(report.instance)
                 gateway.works.refresh()
 
     def _mend(self, report: BackendReport) -> None:
@@ -266,7 +266,7 @@
         server.factor = 1
         server.restart()
         for gateway in self.gateways:
-            gateway.follower.view.take(report)
+            gateway.follower.view.apply(report)
             gateway.works.refresh()
 
     def _server(self, report: BackendReport) -> StageServer | ModelEngine:
@@ -286,7 +286,7 @@
             state=state,
         )
         for gateway in self.gateways:
-            gateway.follower.view.take(told)
+            gateway.follower.view.apply(told)
             gateway.works.refresh()
 
     # -- figures -----------------------------------------------------------
--- a/ringseam/model/gateways.py
+++ b/ringseam/model/gateways.py
@@ -29,9 +29,9 @@
 from ringseam.model.engines import ModelSender
 from ringseam.model.stageservers import ModelPieceCalls
 from ringseam.node import Node
+from ringseam.quarantinemessages import QuarantineSnapshot
 from ringseam.retries import WindowRetries
 from ringseam.sealing import Received
-from ringseam.verdicts import QuarantineNews
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendReport
@@ -66,7 +66,7 @@
         self.table = table
         self.view = BackendView()
         self.gateways: tuple[GatewayState, ...] = ()
-        self.quarantine = QuarantineNews(version=0)
+        self.quarantine = QuarantineSnapshot(version=0)
         self.in_touch = True
         self.leader = ''
         self.epoch = ''
@@ -262,7 +262,7 @@
         """Return what the other gateways are told of this one."""
         return GatewayState(name=self.node.name, address=self.node.address, zone=self.node.zone)
 
-    def hold(self, news: QuarantineNews) -> None:
+    def hold(self, news: QuarantineSnapshot) -> None:
         """Hear which contents end servers."""
         self.follower.quarantine = news
         self.guard.see_news()
--- a/ringseam/platform/registration.py
+++ b/ringseam/platform/registration.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ringseam.backends import BackendReport, BackendState, report_of_leave
-from ringseam.lifetimes import SEPARATOR, backend_id, born_of, name_of
+from ringseam.backends import BackendReport, BackendState, departure_report
+from ringseam.lifetimes import SEPARATOR, backend_id, name_of, start_ms_of
 from ringseam.routes import ServiceName
 from ringseam.util.jsonbody import decode_strictly
 
@@ -76,7 +76,7 @@
 def decode_leave(name: str, body: bytes) -> BackendReport:
     """Return the report of a server that has left; ValueError when its body isn't one."""
     leave = decode_strictly(body, _Leave) if body else _Leave()
-    return report_of_leave(backend_id(name, leave.born))
+    return departure_report(backend_id(name, leave.born))
 
 
 def encode_accepted(report_to: str) -> bytes:
@@ -97,7 +97,7 @@
             addr=report.address,
             zone=report.zone,
             seq=report.sequence,
-            born=born_of(report.instance),
+            born=start_ms_of(report.instance),
             state=_State.ready if report.state is BackendState.ready else _State.draining,
             version=report.software,
             slots=report.slots,
--- a/ringseam/quarantine.py
+++ b/ringseam/quarantine.py
@@ -18,32 +18,32 @@
     from ringseam.contents import ContentId
     from ringseam.evidence import EndId
     from ringseam.lifetimes import BackendId
-    from ringseam.verdicts import ServerEnd
+    from ringseam.quarantinemessages import ServerCrash
 
 #: Under so many ends a content is suspected: it runs on trial only, one at a time. One
 #: end is no sign, as most contents on a server that ends have nothing to do with it.
-ENDS_TO_SUSPECT = 2
+CRASHES_TO_SUSPECT = 2
 #: Under so many ends a content is quarantined: three servers are what it may cost.
-ENDS_TO_QUARANTINE = 3
+CRASHES_TO_QUARANTINE = 3
 #: Contents that share all their ends can't be told apart and are tried one by one; under
 #: so many ends one of them is quarantined all the same.
-ENDS_REGARDLESS = 5
+CRASHES_TO_QUARANTINE_AMBIGUOUS = 5
 #: An account with so many contents quarantined at a service within this time, seconds, is
 #: confined there, so that a hundred such bodies take few servers from the others. Below
 #: that, 6 servers end in 30 s, each away for 2 to 5 s: one at a time in the mean.
 VERDICTS_TO_CONFINE = 3
-CONFINED_S = 30.0
+CONFINEMENT_WINDOW_S = 30.0
 #: Gateways report one end within this time of each other, seconds: a connection that is
 #: refused takes a millisecond, a call to the leader a few, a busy gateway 0.1.
-SETTLE_S = 0.15
+REPORT_SETTLE_S = 0.15
 #: Of a content that was at so many ends that another one explains, fewer tell: it was
 #: never cleared of them, and a service that loses servers to two at once can't wait.
-EXPLAINED_ENDS = 2
+EXPLAINED_CRASHES = 2
 #: A verdict is put to the test after this long, and after twice as long each further
 #: time, seconds: one server an hour at first.
-HELD_S = 3600.0
+RETEST_AFTER_S = 3600.0
 #: How many verdicts are remembered, of 100 bytes each.
-VERDICTS_KEPT = 256
+MAX_VERDICTS = 256
 
 
 class TrialState(enum.Enum):
@@ -64,17 +64,17 @@
     account: str
     #: The versions of the software that it ended.
     software: frozenset[str]
-    at: float
+    quarantined_at: float
     #: None, where the verdict was recorded by an earlier leader.
-    ends: set[EndId] = field(default_factory=set)
+    crashes: set[EndId] = field(default_factory=set)
     #: How many ends it took.
-    needed: int = ENDS_TO_QUARANTINE
+    crashes_needed: int = CRASHES_TO_QUARANTINE
     #: How often it was put to the test since it was first quarantined.
     lifts: int = 0
 
-    def fell_lately(self, now: float) -> bool:
+    def is_recent(self, now: float) -> bool:
         """Return whether it fell a short while ago, and under this leader."""
-        return bool(self.ends) and now - self.at < CONFINED_S
+        return bool(self.crashes) and now - self.quarantined_at < CONFINEMENT_WINDOW_S
 
 
 @dataclass(kw_only=True)
@@ -86,68 +86,71 @@
     #: Verdicts that are put to the test: one more end brings them back.
     lifted: dict[ContentId, Verdict] = field(default_factory=dict)
     #: Until when a run on trial counts as under way.
-    trials: dict[ContentId, float] = field(default_factory=dict)
+    trial_deadlines: dict[ContentId, float] = field(default_factory=dict)
     suspects: frozenset[ContentId] = frozenset()
     #: Accounts, each with a service, that are kept to a few servers.
     confined: frozenset[tuple[str, str]] = frozenset()
     #: The contents of :attr:`verdicts` when the version last grew.
-    held: frozenset[ContentId] = frozenset()
+    published: frozenset[ContentId] = frozenset()
     version: int = 0
 
     # -- evidence -----------------------------------------------------------
 
-    def ended(self, end: ServerEnd, now: float) -> None:
+    def record_crash(self, crash: ServerCrash, now: float) -> None:
         """Hear from one gateway what was under way on a lifetime that ended."""
-        self.evidence.add(end, now)
-        self._refresh()
+        self.evidence.record_crash(crash, now)
+        self._update_suspects()
 
-    def heard(self, instance: BackendId, now: float) -> None:
+    def record_report(self, instance: BackendId, now: float) -> None:
         """Hear that a lifetime reports itself: if it goes on to, it hasn't ended."""
-        for end_id in self.evidence.refute(instance, now):
-            self._withdraw(end_id)
-        self._refresh()
+        for crash_id in self.evidence.remove_refuted(instance, now):
+            self._withdraw_verdicts(crash_id)
+        self._update_suspects()
 
-    def concerns(self, report: BackendReport) -> bool:
+    def is_affected_by(self, report: BackendReport) -> bool:
         """Return whether a server's report may change anything here."""
-        if report.instance in self.evidence.by_instance:
+        if report.instance in self.evidence.crashes_by_instance:
             return True
         return any(
             verdict.service == report.service and report.software not in verdict.software
             for verdict in self.verdicts.values()
         )
 
-    def served(self, content: ContentId, software: str, now: float) -> None:
+    def record_answer(self, content: ContentId, software: str, now: float) -> None:
         """Hear that a server has run a content and answered: it ends no such server."""
-        self.evidence.served(content, software, now)
+        self.evidence.record_answer(content, software, now)
         verdict = self.verdicts.get(content) or self.lifted.get(content)
         if verdict is not None and (software in verdict.software or content in self.lifted):
             self.verdicts.pop(content, None)
             self.lifted.pop(content, None)
-        self.trials.pop(content, None)
-        self._refresh()
+        self.trial_deadlines.pop(content, None)
+        self._update_suspects()
 
     # -- what follows -------------------------------------------------------
 
-    def judge(self, now: float) -> list[ContentId]:
+    def evaluate(self, now: float) -> list[ContentId]:
         """Quarantine whose ends tell it, once all gateways have told of them."""
-        found = []
+        quarantined = []
         for content in sorted(self.suspects | self._confined_contents()):
-            ends = self._unexplained(content)
-            if any(now - self.evidence.ends[end_id].heard_at < SETTLE_S for end_id in ends):
+            crash_ids = self._unexplained(content)
+            if any(
+                now - self.evidence.crashes[crash_id].last_told_at < REPORT_SETTLE_S
+                for crash_id in crash_ids
+            ):
                 continue
-            needed = self._needed(content, ends)
-            if needed and len(ends) >= needed:
-                self._quarantine(content, ends, needed, now)
-                found.append(content)
-        self._lift_old(now)
+            needed = self._crashes_needed(content, crash_ids)
+            if needed and len(crash_ids) >= needed:
+                self._quarantine(content, crash_ids, needed, now)
+                quarantined.append(content)
+        self._lift_due(now)
         confined = self._confined_at(now)
-        if found or confined != self.confined:
+        if quarantined or confined != self.confined:
             self.version += confined != self.confined
             self.confined = confined
-            self._refresh()
-        return found
+            self._update_suspects()
+        return quarantined
 
-    def ask(self, content: ContentId, now: float, lasts_s: float) -> TrialState:
+    def request_run(self, content: ContentId, now: float, lasts_s: float) -> TrialState:
         """Return whether a content may run now; what is suspected runs alone.
 
         Of contents that share an end one runs at a time, so that the next end tells
@@ -157,29 +160,29 @@
             return TrialState.quarantined
         if content not in self.suspects:
             return TrialState.granted
-        mine = set(self._unexplained(content))
-        needed = self._needed(content, mine)
-        if needed and len(mine) >= needed:
+        unexplained = set(self._unexplained(content))
+        needed = self._crashes_needed(content, unexplained)
+        if needed and len(unexplained) >= needed:
             # It is about to be judged.
             return TrialState.busy
-        for other, until in list(self.trials.items()):
+        for other, until in list(self.trial_deadlines.items()):
             if until <= now:
-                self.trials.pop(other)
-            elif other == content or mine & set(self._unexplained(other)):
+                self.trial_deadlines.pop(other)
+            elif other == content or unexplained & set(self._unexplained(other)):
                 return TrialState.busy
-        self.trials[content] = now + lasts_s
+        self.trial_deadlines[content] = now + lasts_s
         return TrialState.granted
 
-    def conclude(self, content: ContentId) -> None:
+    def finish_trial(self, content: ContentId) -> None:
         """Hear that a run on trial is over."""
-        self.trials.pop(content, None)
+        self.trial_deadlines.pop(content, None)
 
     def restore(self, content: ContentId, verdict: Verdict) -> None:
         """Take over a verdict that was recorded."""
         self.verdicts[content] = verdict
-        self._refresh()
+        self._update_suspects()
 
-    def see_software(self, service: str, software: Collection[str]) -> list[ContentId]:
+    def update_software(self, service: str, software: Collection[str]) -> list[ContentId]:
         """Hear which versions a service runs; return what is put to the test.
 
         Once none is left of the versions that a content ended, it may run once: a new
@@ -193,7 +196,7 @@
         for content in lifted:
             self._lift(content)
         if lifted:
-            self._refresh()
+            self._update_suspects()
         return lifted
 
     # -- helpers ------------------------------------------------------------
@@ -201,11 +204,11 @@
     def _unexplained(self, content: ContentId) -> list[EndId]:
         """Return the ends of a content that no quarantined one was under way at."""
         return [
-            end_id
-            for end_id in self.evidence.ends_of(content)
+            crash_id
+            for crash_id in self.evidence.crashes_of(content)
             if not any(
                 other in self.verdicts
-                for other in self.evidence.ends[end_id].suspects
+                for other in self.evidence.crashes[crash_id].suspects
                 if other != content
             )
         ]
@@ -216,23 +219,25 @@
         One that was at three ends does so until it is served, even when a quarantined
         one explains them: it may have ended some of these servers itself.
         """
-        if len(self.evidence.ends_of(content)) >= ENDS_TO_QUARANTINE:
+        if len(self.evidence.crashes_of(content)) >= CRASHES_TO_QUARANTINE:
             return True
-        return len(self._unexplained(content)) >= ENDS_TO_SUSPECT
+        return len(self._unexplained(content)) >= CRASHES_TO_SUSPECT
 
-    def _needed(self, content: ContentId, ends: Collection[EndId]) -> int:
+    def _crashes_needed(self, content: ContentId, crash_ids: Collection[EndId]) -> int:
         """Return how many ends quarantine a content; 0 while that can't be told."""
-        if content in self.lifted or self._is_alone(content, ends):
+        if content in self.lifted or self._is_only_suspect(content, crash_ids):
             return 1
-        if len(ends) < ENDS_REGARDLESS and self.evidence.has_twin(content, ends):
+        if len(crash_ids) < CRASHES_TO_QUARANTINE_AMBIGUOUS and self.evidence.is_ambiguous(
+            content, crash_ids
+        ):
             return 0
-        explained = len(self.evidence.ends_of(content)) - len(ends)
-        return ENDS_TO_SUSPECT if explained >= EXPLAINED_ENDS else ENDS_TO_QUARANTINE
+        explained = len(self.evidence.crashes_of(content)) - len(crash_ids)
+        return CRASHES_TO_SUSPECT if explained >= EXPLAINED_CRASHES else CRASHES_TO_QUARANTINE
 
-    def _is_alone(self, content: ContentId, ends: Collection[EndId]) -> bool:
+    def _is_only_suspect(self, content: ContentId, crash_ids: Collection[EndId]) -> bool:
         """Return whether an end has but this content of an account that is confined."""
-        for end_id in ends:
-            record = self.evidence.ends[end_id]
+        for crash_id in crash_ids:
+            record = self.evidence.crashes[crash_id]
             account = record.suspects[content]
             same = [other for other in record.suspects.values() if other == account]
             if (account, record.service) in self.confined and len(same) == 1:
@@ -242,7 +247,7 @@
     def _confined_at(self, now: float) -> frozenset[tuple[str, str]]:
         counts: dict[tuple[str, str], int] = {}
         for verdict in self.verdicts.values():
-            if verdict.account and verdict.fell_lately(now):
+            if verdict.account and verdict.is_recent(now):
                 owner = (verdict.account, verdict.service)
                 counts[owner] = counts.get(owner, 0) + 1
         return frozenset(owner for owner, count in counts.items() if count >= VERDICTS_TO_CONFINE)
@@ -252,7 +257,7 @@
             return set()
         return {
             content
-            for record in self.evidence.ends.values()
+            for record in self.evidence.crashes.values()
             for content, account in record.suspects.items()
             if (account, record.service) in self.confined and content not in self.verdicts
         }
@@ -260,11 +265,11 @@
     def _quarantine(
         self,
         content: ContentId,
-        ends: list[EndId],
+        crash_ids: list[EndId],
         needed: int,
         now: float,
     ) -> None:
-        records = [self.evidence.ends[end_id] for end_id in ends]
+        records = [self.evidence.crashes[crash_id] for crash_id in crash_ids]
         software = {record.software for record in records}
         lifts = 0
         earlier = self.lifted.pop(content, None)
@@ -276,25 +281,25 @@
             service=records[-1].service,
             account=records[-1].suspects[content],
             software=frozenset(software),
-            at=now,
-            ends=set(ends),
-            needed=needed,
+            quarantined_at=now,
+            crashes=set(crash_ids),
+            crashes_needed=needed,
             lifts=lifts,
         )
-        self.trials.pop(content, None)
-        if len(self.verdicts) > VERDICTS_KEPT:
+        self.trial_deadlines.pop(content, None)
+        if len(self.verdicts) > MAX_VERDICTS:
             self.verdicts.pop(next(iter(self.verdicts)))
 
-    def _lift_old(self, now: float) -> None:
+    def _lift_due(self, now: float) -> None:
         due = [
             content
             for content, verdict in self.verdicts.items()
-            if now - verdict.at > HELD_S * 2**verdict.lifts
+            if now - verdict.quarantined_at > RETEST_AFTER_S * 2**verdict.lifts
         ]
         for content in due:
             self._lift(content)
         if due:
-            self._refresh()
+            self._update_suspects()
 
     def _lift(self, content: ContentId) -> None:
         verdict = self.verdicts.pop(content)
@@ -302,22 +307,22 @@
         self.lifted[content] = verdict
         self.evidence.forget_content(content)
 
-    def _withdraw(self, end_id: EndId) -> None:
+    def _withdraw_verdicts(self, crash_id: EndId) -> None:
         """Take back verdicts that too few ends are left for."""
         for content, verdict in list(self.verdicts.items()):
-            if end_id in verdict.ends:
-                verdict.ends.discard(end_id)
-                if len(verdict.ends) < verdict.needed:
+            if crash_id in verdict.crashes:
+                verdict.crashes.discard(crash_id)
+                if len(verdict.crashes) < verdict.crashes_needed:
                     self.verdicts.pop(content)
 
-    def _refresh(self) -> None:
+    def _update_suspects(self) -> None:
         """Work out who is suspected, and count a change that others must hear of."""
-        before = (self.suspects, self.held)
+        before = (self.suspects, self.published)
         self.suspects = frozenset(
             content
-            for content in self.evidence.repeated
+            for content in self.evidence.recurring
             if content not in self.verdicts and self._is_suspected(content)
         ) | frozenset(self.lifted)
-        self.held = frozenset(self.verdicts)
-        if before != (self.suspects, self.held):
+        self.published = frozenset(self.verdicts)
+        if before != (self.suspects, self.published):
             self.version += 1
--- a/ringseam/verdicts.py
+++ b/ringseam/quarantinemessages.py
@@ -19,7 +19,7 @@
     account: str = ''
 
 
-class ServerEnd(Message, frozen=True, kw_only=True, omit_defaults=True):
+class ServerCrash(Message, frozen=True, kw_only=True, omit_defaults=True):
     """What one gateway had under way on a lifetime that ended unplanned."""
 
     instance: BackendId
@@ -30,10 +30,10 @@
     age_ms: int = 0
 
 
-class EndsReport(Message, frozen=True, kw_only=True):
+class CrashReport(Message, frozen=True, kw_only=True):
     """Ends that a gateway has seen."""
 
-    ends: tuple[ServerEnd, ...]
+    ends: tuple[ServerCrash, ...]
 
 
 class ServedReport(Message, frozen=True, kw_only=True):
@@ -73,7 +73,7 @@
     reply: Union[TrialAnswer, Redirect]
 
 
-class QuarantineNews(Message, frozen=True, kw_only=True, omit_defaults=True):
+class QuarantineSnapshot(Message, frozen=True, kw_only=True, omit_defaults=True):
     """All that gateways hold to."""
 
     version: int
@@ -85,6 +85,6 @@
     confined: tuple[tuple[str, str], ...] = ()
 
 
-REPORT_ENDS = Method('/ringseam.Quarantine/ReportEnds', EndsReport, EvidenceReply)
+REPORT_CRASHES = Method('/ringseam.Quarantine/ReportEnds', CrashReport, EvidenceReply)
 REPORT_SERVED = Method('/ringseam.Quarantine/ReportServed', ServedReport, EvidenceReply)
 TRIAL = Method('/ringseam.Quarantine/Trial', TrialRequest, TrialReply)
--- a/ringseam/tries.py
+++ b/ringseam/tries.py
@@ -19,7 +19,7 @@
 _UNSENT_TRIES = 4
 
 
-class TryEnd(enum.Enum):
+class TryResult(enum.Enum):
     """How one try ended."""
 
     #: An answer was passed on, or nothing more may be sent.
@@ -49,7 +49,7 @@
     #: Whether it may run more than once.
     repeatable: bool
     #: How many servers may get it.
-    most: int
+    max_servers: int
     #: The servers that were tried, by incarnation.
     tried: set[str] = field(default_factory=set)
     sends: int = 0
@@ -60,24 +60,24 @@
     @property
     def may_repeat(self) -> bool:
         """Return whether another try may follow the one under way if it is lost."""
-        return self.repeatable and self.sends + 1 < self.most
+        return self.repeatable and self.sends + 1 < self.max_servers
 
-    def count(self, end: TryEnd) -> NextTry:
+    def count(self, end: TryResult) -> NextTry:
         """Count a try and return what may follow it."""
-        if end is TryEnd.final:
+        if end is TryResult.final:
             return NextTry.none
-        if end is TryEnd.unsent:
+        if end is TryResult.unsent:
             self.unsent += 1
             return NextTry.free if self.unsent < _UNSENT_TRIES else NextTry.none
         self.sends += 1
-        if end is TryEnd.lost:
+        if end is TryResult.lost:
             self.lost += 1
             if not self.repeatable:
                 return NextTry.none
-        return NextTry.drawn if self.sends < self.most else NextTry.none
+        return NextTry.drawn if self.sends < self.max_servers else NextTry.none
 
 
-class Tries(abc.ABC, Generic[ServerT]):
+class TryLoop(abc.ABC, Generic[ServerT]):
     """Send one piece of work to one server after another until it is over."""
 
     def __init__(self, *, record: TryRecord) -> None:
@@ -93,7 +93,9 @@
                 return
             self.record.tried.add(self.incarnation_of(server))
             following = self.record.count(await self.send(server))
-            goes_on = following is NextTry.free or (following is NextTry.drawn and self.draw())
+            goes_on = following is NextTry.free or (
+                following is NextTry.drawn and self.take_retry()
+            )
 
     @abc.abstractmethod
     async def choose(self) -> ServerT | None:
@@ -104,9 +106,9 @@
         """Return what tells this start of a server from others."""
 
     @abc.abstractmethod
-    async def send(self, server: ServerT) -> TryEnd:
+    async def send(self, server: ServerT) -> TryResult:
         """Try once."""
 
     @abc.abstractmethod
-    def draw(self) -> bool:
+    def take_retry(self) -> bool:
         """Take a retry from the budget; False when it is used up."""
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -211,7 +211,7 @@
         self.role._changed()
 
     def add(self, address: str, service: str = 'plain', name: str = '', zone: str = 'a') -> None:
-        self.role.follower.view.take(
+        self.role.follower.view.apply(
             BackendReport(
                 instance=BackendId(name or address),
                 service=ServiceName(service),
--- a/tests/test_contents.py
+++ b/tests/test_contents.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringseam.contents import content_of
+from ringseam.contents import request_content_id
 from ringseam.web.server import Request
 
 parts = st.tuples(st.text(max_size=4), st.text(max_size=4), st.binary(max_size=8))
@@ -18,7 +18,7 @@
         body=body,
         arrived=0,
     )
-    return content_of(request, host='h.example', account=account, secret=secret)
+    return request_content_id(request, host='h.example', account=account, secret=secret)
 
 
 @given(parts=parts, first=st.text(), second=st.text())
--- a/tests/test_control/test_control_follow.py
+++ b/tests/test_control/test_control_follow.py
@@ -11,7 +11,7 @@
     BackendReport,
     BackendState,
     GatewayState,
-    report_of_leave,
+    departure_report,
 )
 from ringseam.commands import BackendRetired, DocumentPut
 from ringseam.control.backenddirectory import BackendDirectory
@@ -266,7 +266,7 @@
     async def run():
         bench = Bench()
         await bench.service.take_report(report('i-1#8'))
-        await bench.service.take_report(report_of_leave(BackendId('i-1')))
+        await bench.service.take_report(departure_report(BackendId('i-1')))
         await bench.service.take_report(report('i-1#8', sequence=7))
         assert bench.service.directory.rows['i-1#8'].report.state is BackendState.gone
         await bench.service.take_report(report('i-1#9'))
@@ -278,7 +278,7 @@
 def test_leave_at_a_leader_that_knows_no_lifetime_counts_for_all_that_have_begun():
     async def run():
         bench = Bench()
-        await bench.service.take_report(report_of_leave(BackendId('i-1')))
+        await bench.service.take_report(departure_report(BackendId('i-1')))
         now = bench.service.node.clock.wall_ms()
         for name in ('i-1', 'i-2', f'i-1#{now - 1000}'):
             assert isinstance(await bench.service.take_report(report(name)), ReportTaken)
--- a/tests/test_control/test_control_quarantining.py
+++ b/tests/test_control/test_control_quarantining.py
@@ -13,24 +13,24 @@
 from ringseam.control.follow import FollowService, HeldDocument
 from ringseam.control.replicamessages import Leadership, NotLeading, ReadConfirmed
 from ringseam.control.state import StateMachine, encode_command
-from ringseam.evidence import LIFE_SHOWS_S, REPORTS_APART_S
+from ringseam.evidence import REFUTE_DELAY_S, REPORT_SPACING_S
 from ringseam.following import WatchNews, WatchRequest
 from ringseam.gateway.following.follower import Follower
 from ringseam.messages import Redirect
 from ringseam.node import Node
-from ringseam.quarantine import SETTLE_S, VERDICTS_KEPT, TrialState
-from ringseam.routes import ServiceName
-from ringseam.rpc import CallClient
-from ringseam.sealing import Received
-from ringseam.verdicts import (
-    EndsReport,
+from ringseam.quarantine import MAX_VERDICTS, REPORT_SETTLE_S, TrialState
+from ringseam.quarantinemessages import (
+    CrashReport,
     Heard,
-    QuarantineNews,
+    QuarantineSnapshot,
     ServedReport,
-    ServerEnd,
+    ServerCrash,
     Suspect,
     TrialRequest,
 )
+from ringseam.routes import ServiceName
+from ringseam.rpc import CallClient
+from ringseam.sealing import Received
 
 GATEWAY = GatewayState(name='g1', address='1.1.1.1:1', zone='a')
 LEADS = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
@@ -44,9 +44,9 @@
 
 def ends(*servers, contents=(GUILTY,), software='v1'):
     suspects = tuple(Suspect(content=content, account='acme') for content in contents)
-    return EndsReport(
+    return CrashReport(
         ends=tuple(
-            ServerEnd(
+            ServerCrash(
                 instance=BackendId(server),
                 service='s',
                 software=software,
@@ -115,7 +115,7 @@
         """Report ends one after the other, and judge each."""
         for server in servers:
             await self.quarantining.take_ends(received(ends(server, **fields)))
-            self.clock.advance(2 * SETTLE_S)
+            self.clock.advance(2 * REPORT_SETTLE_S)
             self.quarantining._judge()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -177,7 +177,7 @@
             await asyncio.sleep(0)
             waiting.cancel()
         await host.tell('a', 'b', 'c')
-        assert not host.quarantining.book.evidence.ends
+        assert not host.quarantining.book.evidence.crashes
 
     asyncio.run(run())
 
@@ -186,10 +186,10 @@
     async def run():
         host = Host()
         await host.tell('a', 'b', 'c')
-        host.clock.advance(LIFE_SHOWS_S)
+        host.clock.advance(REFUTE_DELAY_S)
         for sequence in (2, 3):
             host.service._note(report('c', sequence))
-            host.clock.advance(REPORTS_APART_S)
+            host.clock.advance(REPORT_SPACING_S)
         await asyncio.sleep(0.01)
         assert (await host.trial()).state == TrialState.granted.value
         assert not host.state_machine.state.quarantined
@@ -204,10 +204,10 @@
         host = Host()
         await host.tell('a#1', 'b#1', 'c#1')
         host.service._note(report('c#2', 1))
-        host.clock.advance(LIFE_SHOWS_S)
+        host.clock.advance(REFUTE_DELAY_S)
         for sequence in (2, 3):
             host.service._note(report('c#1', sequence))
-            host.clock.advance(REPORTS_APART_S)
+            host.clock.advance(REPORT_SPACING_S)
         assert (await host.trial()).state == TrialState.quarantined.value
 
     asyncio.run(run())
@@ -262,10 +262,10 @@
         assert (await later.trial()).state == TrialState.granted.value
         await later.quarantining.take_ends(received(ends('a', 'b', 'c')))
         await later.quarantining.take_ends(received(ends('a', 'b', 'c')))
-        later.clock.advance(2 * SETTLE_S)
+        later.clock.advance(2 * REPORT_SETTLE_S)
         later.quarantining._judge()
         assert (await later.trial()).state == TrialState.quarantined.value
-        assert len(later.quarantining.book.evidence.ends) == 3
+        assert len(later.quarantining.book.evidence.crashes) == 3
 
     asyncio.run(run())
 
@@ -302,9 +302,9 @@
 
 def test_recorded_verdicts_are_bounded_oldest_first():
     machine = StateMachine()
-    for number in range(VERDICTS_KEPT + 3):
+    for number in range(MAX_VERDICTS + 3):
         machine.apply(encode_command(RecordVerdict(content=f'c{number}')))
-    assert len(machine.state.quarantined) == VERDICTS_KEPT
+    assert len(machine.state.quarantined) == MAX_VERDICTS
     assert 'c2' not in machine.state.quarantined
     machine.apply(encode_command(RecordVerdict(content='c9', lifted=True)))
     assert 'c9' not in machine.state.quarantined
@@ -323,7 +323,7 @@
 
 
 def news(epoch, *contents, warm=True, version=2):
-    held = QuarantineNews(version=version, quarantined=dict.fromkeys(contents, 0))
+    held = QuarantineSnapshot(version=version, quarantined=dict.fromkeys(contents, 0))
     return WatchNews(epoch=epoch, upto=1, whole=True, warm=warm, quarantine=held)
 
 
--- a/tests/test_entry/test_entry_claims.py
+++ b/tests/test_entry/test_entry_claims.py
@@ -17,7 +17,7 @@
 from ringseam.clock import PausedClock
 from ringseam.config import Account, Configuration, read_part
 from ringseam.control.state import StateMachine, encode_command
-from ringseam.costs import CostBook
+from ringseam.costs import CostTotals
 from ringseam.entry.guard import ContentGuard
 from ringseam.entry.runs import CallerRequest, PipelineRuns
 from ringseam.entry.state import EntryState
@@ -124,7 +124,7 @@
                 retries=BudgetRetries(),
                 estimates=estimates,
                 admission=AdaptiveAdmission(estimates=estimates, view=view),
-                costs=CostBook(),
+                costs=CostTotals(),
                 metrics=Metrics(),
                 guard=ContentGuard(node=node),
             ),
--- a/tests/test_entry/test_entry_guard.py
+++ b/tests/test_entry/test_entry_guard.py
@@ -16,7 +16,7 @@
 from ringseam.entry.guard import ContentGuard
 from ringseam.messages import StageUnknown
 from ringseam.node import Node
-from ringseam.quarantine import SETTLE_S, TrialState
+from ringseam.quarantine import REPORT_SETTLE_S, TrialState
 from tests.test_entry.test_entry_claims import Entry, World
 
 ENDING = b'ends its server'
@@ -47,7 +47,7 @@
     outcomes = []
     for number in range(times):
         outcomes.append(await entry.ask(body, key=f'{body}-{number}'))
-        world.clock.advance(1 + SETTLE_S)
+        world.clock.advance(1 + REPORT_SETTLE_S)
     return outcomes
 
 
@@ -80,7 +80,7 @@
         entry = Entry(world)
         for number in range(3):
             await entry.ask(ENDING, key=f'k{number}')
-            world.clock.advance(1 + SETTLE_S)
+            world.clock.advance(1 + REPORT_SETTLE_S)
         assert await entry.ask(ENDING, key='new') == 'rejected'
         return await entry.ask(ENDING, key='k0')
 
@@ -99,7 +99,7 @@
         assert guard.admit(ask) is TrialState.granted
         guard.note(ask, stage, SimpleNamespace(name=server), ended)
         if server != 'c':
-            clock.advance(2 * SETTLE_S)
+            clock.advance(2 * REPORT_SETTLE_S)
     assert guard.admit(ask) is TrialState.busy
 
 
--- a/tests/test_entry/test_entry_limits.py
+++ b/tests/test_entry/test_entry_limits.py
@@ -1,4 +1,4 @@
-"""Places, account limits, retry budgets and estimates under load."""
+"""RequestSlots, account limits, retry budgets and estimates under load."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from ringseam.admission import StageEstimates
 from ringseam.config import Account, Stage
 from ringseam.limits import BURST_S, AccountLimits
-from ringseam.places import CLASS_SHARES, Places
+from ringseam.requestslots import PRIORITY_SHARES, RequestSlots
 from ringseam.retries import BlindRetries, BudgetRetries, Retry
-from ringseam.shares import LEASE_S, LEASED_PART, ShareBook
+from ringseam.shares import LEASE_S, LEASED_PART, ShareLeases
 
 RETRY = Retry(service='p/q', now=0, left_s=1, needed_s=0.01)
 ACCOUNT = Account(name='p/a', token_sha256='', rate_per_s=10, concurrency=4, weight=1)
@@ -27,7 +27,7 @@
 def test_rate_over_all_entries_is_bounded(entries, gaps):
     limits = [AccountLimits(planned_entries=entries) for _ in range(entries)]
     for entry in limits:
-        entry.take_lease({ACCOUNT.name: LEASED_PART / entries}, float('inf'))
+        entry.apply_lease({ACCOUNT.name: LEASED_PART / entries}, float('inf'))
     now, admitted = 0.0, 0
     for number, gap in enumerate(gaps):
         now += gap
@@ -41,7 +41,7 @@
 
 def test_concurrency_follows_the_lease_and_falls_back_without_it():
     limits = AccountLimits(planned_entries=2)
-    limits.take_lease({ACCOUNT.name: 0.25}, 1)
+    limits.apply_lease({ACCOUNT.name: 0.25}, 1)
     assert [limits.admit(ACCOUNT, 0) > 0 for _ in range(3)] == [False, False, True]
     limits.release(ACCOUNT)
     assert limits.admit(ACCOUNT, 2) > 0
@@ -50,23 +50,23 @@
 
 
 def test_a_burst_leaves_places_for_others_and_for_high_priority():
-    places = Places(total=64)
+    places = RequestSlots(total=64)
     assert places.take('small', 1)
     taken = sum(places.take('large', 1) for _ in range(100))
-    assert taken < 64 * CLASS_SHARES[1]
+    assert taken < 64 * PRIORITY_SHARES[1]
     assert places.take('small', 1)
     assert all(places.take('floor', 0) for _ in range(8))
 
 
 def test_naive_places_go_to_whoever_comes_first():
-    places = Places(total=10, fair=False)
+    places = RequestSlots(total=10, fair=False)
     assert sum(places.take('large', 2) for _ in range(20)) == 10
     assert not places.take('floor', 0)
 
 
 @given(st.lists(st.tuples(st.booleans(), st.sampled_from('abc')), max_size=200))
 def test_places_never_leak(steps):
-    places, held = Places(total=8), []
+    places, held = RequestSlots(total=8), []
     for takes, account in steps:
         if takes and places.take(account, 0):
             held.append(account)
@@ -81,7 +81,7 @@
     allowed = [sum(policy.may_retry(RETRY) for _ in range(1000)) for policy in (budget, blind)]
     assert allowed == [10, 1000]
     for _ in range(100):
-        budget.succeeded()
+        budget.record_success()
     assert sum(budget.may_retry(RETRY) for _ in range(100)) in {9, 10}
 
 
@@ -110,7 +110,7 @@
 @given(leases)
 def test_leased_shares_never_exceed_the_leased_part(asks):
     """Against a naive sum of all leases that may still be used."""
-    book, now, standing = ShareBook(term=1, leading_since=-100), 0.0, []
+    book, now, standing = ShareLeases(term=1, leading_since=-100), 0.0, []
     for entry, demand, gap in asks:
         now += gap
         share = book.grant(entry, {'p/a': demand}, now)['p/a']
@@ -120,7 +120,7 @@
 
 
 def test_shares_move_to_the_demand():
-    book = ShareBook(term=1, leading_since=-100)
+    book = ShareLeases(term=1, leading_since=-100)
     book.grant('a', {'p/a': 1}, 0)
     for now in range(1, 20):
         busy = book.grant('b', {'p/a': 99}, now)['p/a']
@@ -130,7 +130,7 @@
 
 
 def test_new_leader_waits_for_the_old_ones_leases():
-    book = ShareBook(term=1, leading_since=10)
+    book = ShareLeases(term=1, leading_since=10)
     assert book.grant('a', {'p/a': 1}, 10 + LEASE_S) == {}
     assert book.grant('a', {'p/a': 1}, 20) == {'p/a': LEASED_PART}
 
@@ -141,7 +141,7 @@
     an account with the default limit, before control had leased a share."""
     account = Account(name='p/a', token_sha256='', rate_per_s=1000, concurrency=256, weight=1)
     limits = AccountLimits(planned_entries=2)
-    limits.take_lease({account.name: leased}, float('inf'))
+    limits.apply_lease({account.name: leased}, float('inf'))
     found = 0
     for number in range(800):
         if limits.admit(account, number / 548):
--- a/tests/test_gateway/test_following/test_following_ends.py
+++ b/tests/test_gateway/test_following/test_following_ends.py
@@ -13,7 +13,7 @@
 
 from ringseam.backends import BackendReport
 from ringseam.errors import UnreachableError
-from ringseam.evidence import SAME_END_S, ServedLately
+from ringseam.evidence import SAME_CRASH_TOLERANCE_S, RecentAnswers
 from ringseam.gateway.following.ends import (
     PROBE_PAUSE_S,
     PROBE_S,
@@ -26,8 +26,8 @@
 from ringseam.messages import Redirect
 from ringseam.model.virtualtime import run_virtual
 from ringseam.node import Node
+from ringseam.quarantinemessages import EvidenceReply, Heard, Suspect
 from ringseam.routes import ServiceName
-from ringseam.verdicts import EvidenceReply, Heard, Suspect
 from ringseam.web.client import ChannelError, RefusedError
 
 SERVER = BackendReport(
@@ -78,7 +78,7 @@
         follower=SimpleNamespace(in_touch=True, leader='c1', epoch='e1'),
         health=HealthBook(),
         pool=pool,
-        served=ServedLately(),
+        served=RecentAnswers(),
         on_end=on_end,
     )
 
@@ -111,7 +111,7 @@
     went_on, reports = broken(Pool(*['silent'] * lost, 'refused'), leader)
     ((end,),) = leader.ends
     assert end.suspects == (SUSPECT,)
-    assert end.age_ms < SAME_END_S * 1000
+    assert end.age_ms < SAME_CRASH_TOLERANCE_S * 1000
     assert went_on < PROBE_S
     assert not reports.doubted
 
@@ -131,8 +131,8 @@
 
 
 def test_probes_of_one_end_are_over_before_another_may_be_told():
-    """Gateways agree on the time of an end to SAME_END_S; later it is another one."""
-    assert PROBES_AGAIN * (PROBE_PAUSE_S + PROBE_S) < SAME_END_S
+    """Gateways agree on the time of an end to SAME_CRASH_TOLERANCE_S; later it is another one."""
+    assert PROBES_AGAIN * (PROBE_PAUSE_S + PROBE_S) < SAME_CRASH_TOLERANCE_S
 
 
 def test_most_ends_are_seen_where_three_packets_in_ten_are_lost():
--- a/tests/test_gateway/test_following/test_following_guard.py
+++ b/tests/test_gateway/test_following/test_following_guard.py
@@ -5,15 +5,22 @@
 
 import pytest
 
-from ringseam.contents import content_of
+from ringseam.contents import request_content_id
 from ringseam.gateway.following.guard import Guard
 from ringseam.gateway.following.health import HealthBook
 from ringseam.lifetimes import BackendId
 from ringseam.model.virtualtime import run_virtual
 from ringseam.node import Node
 from ringseam.platform.stages import PieceResult, decode_orders, encode_results
-from ringseam.quarantine import SETTLE_S, TrialState
-from ringseam.verdicts import EndsReport, Heard, QuarantineNews, Suspect, TrialAnswer, TrialRequest
+from ringseam.quarantine import REPORT_SETTLE_S, TrialState
+from ringseam.quarantinemessages import (
+    CrashReport,
+    Heard,
+    QuarantineSnapshot,
+    Suspect,
+    TrialAnswer,
+    TrialRequest,
+)
 from ringseam.web.client import RefusedError
 from ringseam.web.server import Request
 from tests.gateways import (
@@ -32,7 +39,7 @@
 def content(path, body=b'body', account='acme'):
     """Return the identity of what :meth:`LocalGateway.ask` asks for."""
     request = Request(method='POST', target=path, headers=[], body=body, arrived=0)
-    return content_of(request, host='h.example', account=account, secret=SECRET)
+    return request_content_id(request, host='h.example', account=account, secret=SECRET)
 
 
 class Ending(ScriptedServer):
@@ -88,7 +95,7 @@
             for number in range(6):
                 await gateway.ask('/idem/x', Attempt_Id=f'r{number}')
             assert not gateway.role.guard.ends.seen
-            assert not gateway.role.guard.local.evidence.ends
+            assert not gateway.role.guard.local.evidence.crashes
 
     asyncio.run(run())
 
@@ -151,7 +158,7 @@
                 await add(gateway, server, f'a{number}')
             for number in range(3):
                 await gateway.ask('/idem/x', Attempt_Id=f'r{number}')
-            gateway.role.guard.local.judge(gateway.role.node.clock.now() + SETTLE_S)
+            gateway.role.guard.local.evaluate(gateway.role.node.clock.now() + REPORT_SETTLE_S)
             sound = ScriptedServer(good)
             await add(gateway, sound, 'z')
             status, raw = await gateway.ask('/idem/x', Attempt_Id='again')
@@ -210,7 +217,7 @@
 
 def guard_of(clock, leader, **known):
     follower = SimpleNamespace(
-        in_touch=True, leader='c1', epoch='e1', quarantine=QuarantineNews(version=1), **known
+        in_touch=True, leader='c1', epoch='e1', quarantine=QuarantineSnapshot(version=1), **known
     )
     return Guard(
         node=Node(name='g', role='gateway', address='', secret=b's', clock=clock),
@@ -233,7 +240,7 @@
     async def run(clock):
         leader = Leader()
         guard = guard_of(clock, leader)
-        guard.follower.quarantine = QuarantineNews(version=1, suspects=('c',))
+        guard.follower.quarantine = QuarantineSnapshot(version=1, suspects=('c',))
         guard.follower.in_touch = False
         server = SimpleNamespace(instance='a#1', service='s', software='', address='1.1.1.1:1')
         guard.ends.sent(server, 'r1', Suspect(content='c'))
@@ -244,7 +251,7 @@
         return leader.calls
 
     first, second = run_virtual(run)
-    assert isinstance(first, EndsReport)
+    assert isinstance(first, CrashReport)
     assert isinstance(second, TrialRequest)
 
 
@@ -290,7 +297,7 @@
             await add(gateway, server, 'a')
             await add(gateway, server, 'b', service='crops')
             held = {content('/idem/x'): 0, content('/staged/x'): 0}
-            gateway.role.follower.quarantine = QuarantineNews(version=2, quarantined=held)
+            gateway.role.follower.quarantine = QuarantineSnapshot(version=2, quarantined=held)
             statuses = [
                 (await gateway.ask(path, Attempt_Id='new', Pieces=pieces))[0]
                 for path, pieces in (('/idem/x', ''), ('/staged/x', '1'), ('/idem/y', ''))
@@ -311,7 +318,7 @@
             gateway.role.follower.in_touch = True
             gateway.role.follower.leader = '127.0.0.1:1'
             suspects = (content('/idem/x'),)
-            gateway.role.follower.quarantine = QuarantineNews(version=2, suspects=suspects)
+            gateway.role.follower.quarantine = QuarantineSnapshot(version=2, suspects=suspects)
             status, raw = await gateway.ask('/idem/x')
         assert status == 503
         assert b'retry-after' in raw.lower()
@@ -332,7 +339,7 @@
         async with LocalGateway(key_file) as gateway:
             known = {content('/idem/x'): 0}
             held = known if verdict == 'quarantined' else tuple(known)
-            news = QuarantineNews(version=2, **{verdict: held})
+            news = QuarantineSnapshot(version=2, **{verdict: held})
             gateway.role.follower.quarantine = news
             gateway.role.follower.in_touch = True
             gateway.role.follower.leader = '127.0.0.1:1'
@@ -357,7 +364,7 @@
             ]
             await asyncio.sleep(0.2)
             held = {content('/staged/second'): 0} if falls else {}
-            gateway.role.follower.quarantine = QuarantineNews(version=2, quarantined=held)
+            gateway.role.follower.quarantine = QuarantineSnapshot(version=2, quarantined=held)
             await asyncio.gather(*asks)
             bodies = b''.join(asked.body for asked in server.asked)
         assert b'first' in bodies
@@ -384,7 +391,7 @@
             for number, server in enumerate(servers):
                 await add(gateway, server, f'a{number}')
             confined = (('acme', 'plain'),)
-            gateway.role.follower.quarantine = QuarantineNews(version=2, confined=confined)
+            gateway.role.follower.quarantine = QuarantineSnapshot(version=2, confined=confined)
             for number in range(12):
                 await gateway.ask(f'/idem/{number}', Attempt_Id=f'r{number}')
         assert sorted(len(server.asked) for server in servers) == [0, 0, 0, 12]
@@ -402,7 +409,7 @@
             await add(gateway, ScriptedServer(script), 'a')
             await gateway.ask('/idem/x')
             now = gateway.role.node.clock.now()
-            assert guard.served.has(content('/idem/x'), '', now) is bears
+            assert guard.served.contains(content('/idem/x'), '', now) is bears
             server = gateway.role.follower.view.backends[BackendId('a')]
             guard.ends.sent(server, 'r9', Suspect(content=content('/idem/x'), account='acme'))
             await guard.ends._probe(server)
--- a/tests/test_gateway/test_following/test_following_zones.py
+++ b/tests/test_gateway/test_following/test_following_zones.py
@@ -32,7 +32,7 @@
 
 
 def drain(gateway, change, *names):
-    gateway.role.follower.view.drain(DrainedZones(change=change, names=names))
+    gateway.role.follower.view.drain_zones(DrainedZones(change=change, names=names))
     gateway.role.works.refresh()
 
 
--- a/tests/test_gateway/test_requests/test_requests_leaving.py
+++ b/tests/test_gateway/test_requests/test_requests_leaving.py
@@ -130,13 +130,13 @@
         zone='a',
         sequence=1,
     )
-    view.take(report)
-    view.note_leaving(BackendId('a'))
+    view.apply(report)
+    view.mark_leaving(BackendId('a'))
     assert view.serving(ServiceName('plain')) == []
     # Its channels and what it keeps are still used by what runs there.
     assert view.zones == {'a:1': 'a'}
-    view.lose(BackendId('a'))
-    view.take(
+    view.remove(BackendId('a'))
+    view.apply(
         BackendReport(
             instance=BackendId('a'),
             service=ServiceName('plain'),
@@ -150,7 +150,7 @@
 
 def test_next_lifetime_of_a_server_that_left_is_used():
     view = BackendView()
-    view.note_leaving(BackendId('a#1000'))
+    view.mark_leaving(BackendId('a#1000'))
     report = BackendReport(
         instance=BackendId('a#2000'),
         service=ServiceName('plain'),
@@ -158,7 +158,7 @@
         zone='a',
         sequence=1,
     )
-    view.take(report)
+    view.apply(report)
     assert view.serving(ServiceName('plain')) == [report]
 
 
--- a/tests/test_gateway/test_stages/test_stages_graph.py
+++ b/tests/test_gateway/test_stages/test_stages_graph.py
@@ -14,8 +14,8 @@
 from ringseam.gateway.stages.graph import StageRun
 from ringseam.gateway.worth import Precedence
 from ringseam.platform.stages import PieceFault, PieceResult
+from ringseam.quarantinemessages import Suspect
 from ringseam.routes import BackendService, BatchSpec, RouteStage, RouteTable, ServiceName
-from ringseam.verdicts import Suspect
 
 SPEC = BatchSpec(slots=1, queue=2, batch=4, call_s=0.2, piece_s=0.02, room_bytes=10**7, keep_s=4)
 CROPS = ServiceName('crops')
--- a/tests/test_gateway/test_stages/test_stages_scheduler.py
+++ b/tests/test_gateway/test_stages/test_stages_scheduler.py
@@ -332,7 +332,7 @@
             answered = asyncio.ensure_future(gateway.ask('/staged/x', Pieces='1', Piece_Key='k'))
             await again.wait()
             leaving = 'b' if asked_names == ['a'] else 'a'
-            gateway.role.follower.view.leave(BackendId(leaving))
+            gateway.role.follower.view.remove_for_good(BackendId(leaving))
             gateway.add(addresses['c'], name='c')
             go_on.set()
             found, _ = await answered
--- a/tests/test_ledger/test_ledger_differential.py
+++ b/tests/test_ledger/test_ledger_differential.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from ringseam.ledger import (
-    SPENT_MS,
+    EXPIRED_KEY_RETENTION_MS,
     ClaimStage,
     ConcludeStage,
     KeyExpired,
@@ -162,8 +162,12 @@
     ('same key, other body', [open_run('n'), open_run('n', digest=b'e')], KeyMismatch),
     ('within retention', [open_run('n'), open_run('n', now_ms=999)], RunOpened),
     ('past retention', [open_run('n'), open_run('n', now_ms=1000)], KeyExpired),
-    ('spent for long', [open_run('n'), open_run('n', now_ms=SPENT_MS)], KeyExpired),
-    ('spent no more', [open_run('n'), open_run('n', now_ms=SPENT_MS + 1000)], RunOpened),
+    ('spent for long', [open_run('n'), open_run('n', now_ms=EXPIRED_KEY_RETENTION_MS)], KeyExpired),
+    (
+        'spent no more',
+        [open_run('n'), open_run('n', now_ms=EXPIRED_KEY_RETENTION_MS + 1000)],
+        RunOpened,
+    ),
     ('claim unopened', [claim('n', 's1', 'r')], KeyExpired),
     (
         'claim expired',
--- a/tests/test_prefixes/test_prefixes_index.py
+++ b/tests/test_prefixes/test_prefixes_index.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from ringseam.prefixes import PrefixIndex
-from ringseam.routing import AdaptiveRouter, Routable
+from ringseam.routing import AdaptiveRouter, RoutingRequest
 from ringseam.standin.cache import PrefixCache
 from tests.test_routing.test_routing_choice import agent
 
-WANTED = Routable(pool='p/q', zone='zone-1', est_ms=10, prefix=7)
+WANTED = RoutingRequest(pool='p/q', zone='zone-1', est_ms=10, prefix=7)
 
 
 @given(
@@ -60,7 +60,7 @@
     counts = Counter()
     for _ in range(40):
         chosen = router.choose(agents, WANTED, 0)
-        router.started(chosen)
+        router.record_start(chosen)
         counts[chosen.name] += 1
     assert counts['a2'] < 25
     assert len(counts) == 4
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -10,27 +10,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringseam.evidence import ENDS_KEPT, LIFE_SHOWS_S, REPORTS_APART_S, REPORTS_OF_LIFE
+from ringseam.evidence import MAX_CRASHES, REFUTE_DELAY_S, REPORT_SPACING_S, REPORTS_TO_REFUTE
 from ringseam.quarantine import (
-    CONFINED_S,
-    ENDS_REGARDLESS,
-    HELD_S,
-    SETTLE_S,
-    VERDICTS_KEPT,
+    CONFINEMENT_WINDOW_S,
+    CRASHES_TO_QUARANTINE_AMBIGUOUS,
+    MAX_VERDICTS,
+    REPORT_SETTLE_S,
+    RETEST_AFTER_S,
     VERDICTS_TO_CONFINE,
     Quarantine,
     TrialState,
     Verdict,
 )
-from ringseam.verdicts import ServerEnd, Suspect
+from ringseam.quarantinemessages import ServerCrash, Suspect
 
 GUILTY = 'guilty'
-SOON_S = 2 * SETTLE_S
+SOON_S = 2 * REPORT_SETTLE_S
 
 
-def end(instance, *contents, software='v1', service='s', account='acme', age_ms=0):
+def crash(instance, *contents, software='v1', service='s', account='acme', age_ms=0):
     suspects = tuple(Suspect(content=content, account=account) for content in contents)
-    return ServerEnd(
+    return ServerCrash(
         instance=instance,
         service=service,
         software=software,
@@ -39,305 +39,310 @@
     )
 
 
-class Evidence:
+class QuarantineHarness:
     """A quarantine and the time that passes."""
 
     def __init__(self):
         self.book = Quarantine()
         self.now = 0.0
 
-    def ended(self, *ends):
+    def crash(self, *ends):
         for one in ends:
-            self.book.ended(one, self.now)
+            self.book.record_crash(one, self.now)
         self.now += SOON_S
-        return self.book.judge(self.now)
+        return self.book.evaluate(self.now)
 
     def ask(self, content, lasts_s=5.0):
-        return self.book.ask(content, self.now, lasts_s)
+        return self.book.request_run(content, self.now, lasts_s)
 
 
 def test_third_end_quarantines():
-    seen = Evidence()
-    assert seen.ended(end('a', GUILTY)) == []
-    assert seen.ended(end('b', GUILTY)) == []
-    assert seen.ended(end('c', GUILTY)) == [GUILTY]
-    assert seen.ask(GUILTY) is TrialState.quarantined
+    harness = QuarantineHarness()
+    assert harness.crash(crash('a', GUILTY)) == []
+    assert harness.crash(crash('b', GUILTY)) == []
+    assert harness.crash(crash('c', GUILTY)) == [GUILTY]
+    assert harness.ask(GUILTY) is TrialState.quarantined
 
 
 def test_server_that_ends_again_before_its_new_start_is_known_has_ended_twice():
     """Seen: one content ended servers that another one had ended just before. Both ends
     bore one name, so the first was taken for the cause of the second as well."""
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, 'other'))
-    seen.now += 1.5
-    assert [seen.ended(end(server, GUILTY)) for server in 'abc'] == [[], [], [GUILTY]]
+        harness.crash(crash(server, 'other'))
+    harness.now += 1.5
+    assert [harness.crash(crash(server, GUILTY)) for server in 'abc'] == [[], [], [GUILTY]]
 
 
 def test_end_that_is_told_again_to_a_new_leader_is_one_end():
-    seen = Evidence()
-    seen.now = 100
+    harness = QuarantineHarness()
+    harness.now = 100
     for age_ms in (0, 0, 5000, 5100):
-        seen.book.ended(end('a', GUILTY, age_ms=age_ms), seen.now)
-    assert len(seen.book.evidence.ends) == 2
+        harness.book.record_crash(crash('a', GUILTY, age_ms=age_ms), harness.now)
+    assert len(harness.book.evidence.crashes) == 2
 
 
 def test_second_end_lets_it_run_on_trial_only_one_at_a_time():
-    seen = Evidence()
-    seen.ended(end('a', GUILTY))
-    assert [seen.ask(GUILTY), seen.ask(GUILTY)] == [TrialState.granted] * 2
-    seen.ended(end('b', GUILTY))
-    assert [seen.ask(GUILTY), seen.ask(GUILTY)] == [TrialState.granted, TrialState.busy]
+    harness = QuarantineHarness()
+    harness.crash(crash('a', GUILTY))
+    assert [harness.ask(GUILTY), harness.ask(GUILTY)] == [TrialState.granted] * 2
+    harness.crash(crash('b', GUILTY))
+    assert [harness.ask(GUILTY), harness.ask(GUILTY)] == [TrialState.granted, TrialState.busy]
 
 
 def test_trial_that_nobody_concludes_is_over_at_its_deadline():
-    seen = Evidence()
-    seen.ended(end('a', GUILTY))
-    seen.ended(end('b', GUILTY))
-    seen.ask(GUILTY, lasts_s=5)
-    seen.now += 5
-    assert seen.ask(GUILTY) is TrialState.granted
+    harness = QuarantineHarness()
+    harness.crash(crash('a', GUILTY))
+    harness.crash(crash('b', GUILTY))
+    harness.ask(GUILTY, lasts_s=5)
+    harness.now += 5
+    assert harness.ask(GUILTY) is TrialState.granted
 
 
 def test_nothing_is_judged_before_all_gateways_have_told_of_an_end():
     """An innocent one that shares the ends is told of by another gateway, a little later."""
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.book.ended(end(server, GUILTY), seen.now)
-    assert seen.book.judge(seen.now + SETTLE_S / 2) == []
-    assert seen.ask(GUILTY) is TrialState.busy
-    assert seen.book.judge(seen.now + SETTLE_S) == [GUILTY]
+        harness.book.record_crash(crash(server, GUILTY), harness.now)
+    assert harness.book.evaluate(harness.now + REPORT_SETTLE_S / 2) == []
+    assert harness.ask(GUILTY) is TrialState.busy
+    assert harness.book.evaluate(harness.now + REPORT_SETTLE_S) == [GUILTY]
 
 
 def test_those_that_shared_its_servers_are_free_once_the_verdict_falls():
-    seen = Evidence()
-    seen.ended(end('a', GUILTY, 'x', 'y'))
-    seen.ended(end('b', GUILTY, 'x'))
-    assert seen.book.suspects == {GUILTY, 'x'}
-    assert seen.ended(end('c', GUILTY, 'y')) == [GUILTY]
-    assert not seen.book.suspects
-    assert seen.ask('x') is TrialState.granted
+    harness = QuarantineHarness()
+    harness.crash(crash('a', GUILTY, 'x', 'y'))
+    harness.crash(crash('b', GUILTY, 'x'))
+    assert harness.book.suspects == {GUILTY, 'x'}
+    assert harness.crash(crash('c', GUILTY, 'y')) == [GUILTY]
+    assert not harness.book.suspects
+    assert harness.ask('x') is TrialState.granted
 
 
 def test_two_that_share_all_ends_are_tried_one_after_the_other():
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        assert seen.ended(end(server, GUILTY, 'twin')) == []
-    assert seen.ask(GUILTY) is TrialState.granted
-    assert seen.ask('twin') is TrialState.busy
-    assert seen.ended(end('d', GUILTY)) == [GUILTY]
-    assert seen.ask('twin') is TrialState.granted
+        assert harness.crash(crash(server, GUILTY, 'twin')) == []
+    assert harness.ask(GUILTY) is TrialState.granted
+    assert harness.ask('twin') is TrialState.busy
+    assert harness.crash(crash('d', GUILTY)) == [GUILTY]
+    assert harness.ask('twin') is TrialState.granted
 
 
 def test_second_guilty_one_at_the_same_ends_ends_two_servers_more_at_most():
     """Load: two such contents at once; the first verdict explains the ends of both."""
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, GUILTY, 'second'))
-    assert seen.ended(end('d', GUILTY)) == [GUILTY]
-    assert [seen.ask('second'), seen.ask('second')] == [TrialState.granted, TrialState.busy]
-    assert seen.ended(end('e', 'second')) == []
-    assert seen.ended(end('f', 'second')) == ['second']
+        harness.crash(crash(server, GUILTY, 'second'))
+    assert harness.crash(crash('d', GUILTY)) == [GUILTY]
+    assert [harness.ask('second'), harness.ask('second')] == [TrialState.granted, TrialState.busy]
+    assert harness.crash(crash('e', 'second')) == []
+    assert harness.crash(crash('f', 'second')) == ['second']
 
 
 def test_innocent_one_at_three_explained_ends_is_free_once_it_is_served():
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, GUILTY, 'mate'))
-    seen.ended(end('d', GUILTY))
-    assert seen.ask('mate') is TrialState.granted
-    seen.book.served('mate', 'v1', seen.now)
-    assert [seen.ask('mate'), seen.ask('mate')] == [TrialState.granted] * 2
+        harness.crash(crash(server, GUILTY, 'mate'))
+    harness.crash(crash('d', GUILTY))
+    assert harness.ask('mate') is TrialState.granted
+    harness.book.record_answer('mate', 'v1', harness.now)
+    assert [harness.ask('mate'), harness.ask('mate')] == [TrialState.granted] * 2
 
 
 def test_twin_that_is_served_leaves_the_other_to_blame():
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, GUILTY, 'twin'))
-    seen.book.served('twin', 'v1', seen.now)
-    assert seen.book.judge(seen.now) == [GUILTY]
+        harness.crash(crash(server, GUILTY, 'twin'))
+    harness.book.record_answer('twin', 'v1', harness.now)
+    assert harness.book.evaluate(harness.now) == [GUILTY]
 
 
 def test_two_that_are_never_apart_end_five_servers_at_most():
-    seen = Evidence()
-    fallen = [seen.ended(end(f's{number}', GUILTY, 'twin')) for number in range(ENDS_REGARDLESS)]
-    assert fallen[:-1] == [[]] * (ENDS_REGARDLESS - 1)
+    harness = QuarantineHarness()
+    fallen = [
+        harness.crash(crash(f's{number}', GUILTY, 'twin'))
+        for number in range(CRASHES_TO_QUARANTINE_AMBIGUOUS)
+    ]
+    assert fallen[:-1] == [[]] * (CRASHES_TO_QUARANTINE_AMBIGUOUS - 1)
     assert fallen[-1]
 
 
 def test_content_that_was_served_is_behind_no_end():
     """What many ask for is under way at each end: a rack that falls blames nobody."""
-    seen = Evidence()
-    seen.book.served('popular', 'v1', seen.now)
+    harness = QuarantineHarness()
+    harness.book.record_answer('popular', 'v1', harness.now)
     for number in range(20):
-        assert seen.ended(end(f's{number}', 'popular')) == []
-    assert not seen.book.suspects
+        assert harness.crash(crash(f's{number}', 'popular')) == []
+    assert not harness.book.suspects
 
 
 def test_answer_by_another_version_proves_nothing():
-    seen = Evidence()
-    seen.book.served(GUILTY, 'v1', seen.now)
+    harness = QuarantineHarness()
+    harness.book.record_answer(GUILTY, 'v1', harness.now)
     for server in 'ab':
-        seen.ended(end(server, GUILTY, software='v2'))
-    assert seen.ended(end('c', GUILTY, software='v2')) == [GUILTY]
+        harness.crash(crash(server, GUILTY, software='v2'))
+    assert harness.crash(crash('c', GUILTY, software='v2')) == [GUILTY]
 
 
 def test_answer_lifts_a_verdict_that_was_wrong():
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, 'slow'))
-    seen.book.served('slow', 'v1', seen.now)
-    assert seen.ask('slow') is TrialState.granted
+        harness.crash(crash(server, 'slow'))
+    harness.book.record_answer('slow', 'v1', harness.now)
+    assert harness.ask('slow') is TrialState.granted
 
 
 def test_server_that_goes_on_reporting_has_not_ended():
     """What it sent before its end may come seconds later, and shows nothing."""
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, GUILTY))
-    for _ in range(REPORTS_OF_LIFE):
-        seen.book.heard('c', seen.now)
-    seen.now += LIFE_SHOWS_S
-    seen.book.heard('c', seen.now)
-    assert seen.ask(GUILTY) is TrialState.quarantined
-    seen.now += REPORTS_APART_S
-    seen.book.heard('c', seen.now)
-    assert seen.ask(GUILTY) is TrialState.granted
+        harness.crash(crash(server, GUILTY))
+    for _ in range(REPORTS_TO_REFUTE):
+        harness.book.record_report('c', harness.now)
+    harness.now += REFUTE_DELAY_S
+    harness.book.record_report('c', harness.now)
+    assert harness.ask(GUILTY) is TrialState.quarantined
+    harness.now += REPORT_SPACING_S
+    harness.book.record_report('c', harness.now)
+    assert harness.ask(GUILTY) is TrialState.granted
 
 
 def test_reports_that_arrive_together_show_no_life():
     """Load: a cut holds up what a server sent before its end, and heals seconds later."""
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, GUILTY))
-    seen.now += 2 * LIFE_SHOWS_S
-    for _ in range(2 * REPORTS_OF_LIFE):
-        seen.book.heard('c', seen.now)
-        seen.now += REPORTS_APART_S / 10
-    assert seen.ask(GUILTY) is TrialState.quarantined
+        harness.crash(crash(server, GUILTY))
+    harness.now += 2 * REFUTE_DELAY_S
+    for _ in range(2 * REPORTS_TO_REFUTE):
+        harness.book.record_report('c', harness.now)
+        harness.now += REPORT_SPACING_S / 10
+    assert harness.ask(GUILTY) is TrialState.quarantined
 
 
 def test_new_release_puts_a_verdict_to_the_test_with_one_server():
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, GUILTY))
-    assert seen.book.see_software('s', {'v1', 'v2'}) == []
-    assert seen.book.see_software('other', {'v2'}) == []
-    assert seen.book.see_software('s', {'v2'}) == [GUILTY]
-    assert [seen.ask(GUILTY), seen.ask(GUILTY)] == [TrialState.granted, TrialState.busy]
-    assert seen.ended(end('d', GUILTY, software='v2')) == [GUILTY]
-    assert seen.book.see_software('s', {'v2'}) == []
+        harness.crash(crash(server, GUILTY))
+    assert harness.book.update_software('s', {'v1', 'v2'}) == []
+    assert harness.book.update_software('other', {'v2'}) == []
+    assert harness.book.update_software('s', {'v2'}) == [GUILTY]
+    assert [harness.ask(GUILTY), harness.ask(GUILTY)] == [TrialState.granted, TrialState.busy]
+    assert harness.crash(crash('d', GUILTY, software='v2')) == [GUILTY]
+    assert harness.book.update_software('s', {'v2'}) == []
 
 
 def test_new_release_that_bears_it_frees_it():
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, GUILTY))
-    seen.book.see_software('s', {'v2'})
-    seen.book.served(GUILTY, 'v2', seen.now)
-    assert not seen.book.suspects
-    assert [seen.ask(GUILTY), seen.ask(GUILTY)] == [TrialState.granted] * 2
+        harness.crash(crash(server, GUILTY))
+    harness.book.update_software('s', {'v2'})
+    harness.book.record_answer(GUILTY, 'v2', harness.now)
+    assert not harness.book.suspects
+    assert [harness.ask(GUILTY), harness.ask(GUILTY)] == [TrialState.granted] * 2
 
 
 def test_release_that_is_taken_back_puts_no_verdict_to_the_test():
     """Load: a release, its return and the release again; each would cost one server."""
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, GUILTY))
-    seen.book.see_software('s', {'v2'})
-    assert seen.ended(end('d', GUILTY, software='v2')) == [GUILTY]
-    assert seen.book.see_software('s', {'v1'}) == []
-    assert seen.book.see_software('s', {'v3'}) == [GUILTY]
+        harness.crash(crash(server, GUILTY))
+    harness.book.update_software('s', {'v2'})
+    assert harness.crash(crash('d', GUILTY, software='v2')) == [GUILTY]
+    assert harness.book.update_software('s', {'v1'}) == []
+    assert harness.book.update_software('s', {'v3'}) == [GUILTY]
 
 
 def test_verdict_is_put_to_the_test_after_an_hour_and_then_after_two():
-    seen = Evidence()
+    harness = QuarantineHarness()
     for server in 'abc':
-        seen.ended(end(server, GUILTY))
+        harness.crash(crash(server, GUILTY))
     for times in (1, 2):
-        seen.now += times * HELD_S - 1
-        seen.book.judge(seen.now)
-        assert seen.ask(GUILTY) is TrialState.quarantined
-        seen.now += 2
-        seen.book.judge(seen.now)
-        assert seen.ask(GUILTY) is TrialState.granted
-        assert seen.ended(end(f'later-{times}', GUILTY)) == [GUILTY]
+        harness.now += times * RETEST_AFTER_S - 1
+        harness.book.evaluate(harness.now)
+        assert harness.ask(GUILTY) is TrialState.quarantined
+        harness.now += 2
+        harness.book.evaluate(harness.now)
+        assert harness.ask(GUILTY) is TrialState.granted
+        assert harness.crash(crash(f'later-{times}', GUILTY)) == [GUILTY]
 
 
 def test_account_with_many_such_contents_is_confined_and_pays_one_server_each():
-    seen = Evidence()
+    harness = QuarantineHarness()
     for number in range(VERDICTS_TO_CONFINE):
         for server in 'abc':
-            seen.ended(end(f'{server}{number}', f'bad-{number}', account='mallory'))
-    assert seen.book.confined == {('mallory', 's')}
-    assert seen.ended(end('next', 'bad-new', account='mallory')) == ['bad-new']
-    assert seen.ended(end('mixed', 'bad-1st', 'bad-2nd', account='mallory')) == []
-    assert seen.ended(end('alien', 'other', account='acme')) == []
+            harness.crash(crash(f'{server}{number}', f'bad-{number}', account='mallory'))
+    assert harness.book.confined == {('mallory', 's')}
+    assert harness.crash(crash('next', 'bad-new', account='mallory')) == ['bad-new']
+    assert harness.crash(crash('mixed', 'bad-1st', 'bad-2nd', account='mallory')) == []
+    assert harness.crash(crash('alien', 'other', account='acme')) == []
 
 
 def test_account_is_confined_while_it_brings_such_contents_and_no_longer():
     """Its other requests share one server meanwhile, so it lasts no longer than it must."""
-    seen = Evidence()
+    harness = QuarantineHarness()
     versions = []
     for number in range(VERDICTS_TO_CONFINE):
         for server in 'abc':
-            seen.ended(end(f'{server}{number}', f'bad-{number}', account='mallory'))
-        versions.append((bool(seen.book.confined), seen.book.version))
+            harness.crash(crash(f'{server}{number}', f'bad-{number}', account='mallory'))
+        versions.append((bool(harness.book.confined), harness.book.version))
     assert [confined for confined, _ in versions] == [False, False, True]
-    seen.now += CONFINED_S
-    seen.book.judge(seen.now)
-    assert not seen.book.confined
-    assert seen.book.version > versions[-1][1]
-    assert len(seen.book.verdicts) == VERDICTS_TO_CONFINE
+    harness.now += CONFINEMENT_WINDOW_S
+    harness.book.evaluate(harness.now)
+    assert not harness.book.confined
+    assert harness.book.version > versions[-1][1]
+    assert len(harness.book.verdicts) == VERDICTS_TO_CONFINE
 
 
 def test_verdicts_far_apart_confine_no_account():
-    seen = Evidence()
+    harness = QuarantineHarness()
     for number in range(2 * VERDICTS_TO_CONFINE):
         for server in 'abc':
-            seen.ended(end(f'{server}{number}', f'bad-{number}', account='mallory'))
-        seen.now += CONFINED_S / (VERDICTS_TO_CONFINE - 1)
-    assert not seen.book.confined
+            harness.crash(crash(f'{server}{number}', f'bad-{number}', account='mallory'))
+        harness.now += CONFINEMENT_WINDOW_S / (VERDICTS_TO_CONFINE - 1)
+    assert not harness.book.confined
 
 
 def test_recorded_verdicts_confine_no_account():
     """Load: a change of leader long after they fell."""
     book = Quarantine()
     for number in range(VERDICTS_TO_CONFINE):
-        held = Verdict(service='s', account='mallory', software=frozenset({'v1'}), at=0)
+        held = Verdict(service='s', account='mallory', software=frozenset({'v1'}), quarantined_at=0)
         book.restore(f'bad-{number}', held)
-    book.judge(0)
+    book.evaluate(0)
     assert not book.confined
 
 
 def test_memory_stays_bounded_in_a_flood():
-    seen = Evidence()
-    for number in range(VERDICTS_KEPT + 50):
+    harness = QuarantineHarness()
+    for number in range(MAX_VERDICTS + 50):
         for server in 'abc':
-            seen.ended(end(f'{server}{number}', f'bad-{number}', account=''))
-    assert len(seen.book.verdicts) == VERDICTS_KEPT
-    assert len(seen.book.evidence.ends) <= ENDS_KEPT
-    assert len(seen.book.evidence.by_content) <= ENDS_KEPT
+            harness.crash(crash(f'{server}{number}', f'bad-{number}', account=''))
+    assert len(harness.book.verdicts) == MAX_VERDICTS
+    assert len(harness.book.evidence.crashes) <= MAX_CRASHES
+    assert len(harness.book.evidence.crashes_by_content) <= MAX_CRASHES
 
 
 def test_recorded_verdict_is_in_force_at_once():
     book = Quarantine()
-    book.restore(GUILTY, Verdict(service='s', account='', software=frozenset({'v1'}), at=0))
-    assert book.ask(GUILTY, 0, 1) is TrialState.quarantined
+    book.restore(
+        GUILTY, Verdict(service='s', account='', software=frozenset({'v1'}), quarantined_at=0)
+    )
+    assert book.request_run(GUILTY, 0, 1) is TrialState.quarantined
 
 
 def test_version_grows_with_what_others_must_hear_and_with_nothing_else():
-    seen = Evidence()
-    versions = [seen.book.version]
+    harness = QuarantineHarness()
+    versions = [harness.book.version]
     for server in 'abc':
-        seen.ended(end(server, GUILTY))
-        versions.append(seen.book.version)
+        harness.crash(crash(server, GUILTY))
+        versions.append(harness.book.version)
     assert versions[0] == versions[1] < versions[2] < versions[3]
-    seen.ask(GUILTY)
-    assert seen.book.version == versions[3]
+    harness.ask(GUILTY)
+    assert harness.book.version == versions[3]
 
 
-def naive(ends, served):
+def reference_verdicts(ends, served):
     """Judge all evidence at once, by the words of the module: nobody twice, in order."""
     fallen = []
     for last in range(len(ends)):
@@ -354,7 +359,7 @@
                 alone = not mine or not set.intersection(*mine) - {content}
                 explained = sum(content in one - served for one in known) - len(mine)
                 enough = len(mine) >= (2 if explained >= 2 else 3)
-                told = enough and (alone or len(mine) >= ENDS_REGARDLESS)
+                told = enough and (alone or len(mine) >= CRASHES_TO_QUARANTINE_AMBIGUOUS)
                 if told and content not in fallen:
                     fallen.append(content)
                     changed = True
@@ -366,31 +371,31 @@
     served=st.frozensets(st.sampled_from('abcde'), max_size=2),
 )
 def test_verdicts_are_those_of_a_naive_judge(ends, served):
-    seen = Evidence()
+    harness = QuarantineHarness()
     for content in served:
-        seen.book.served(content, 'v1', seen.now)
+        harness.book.record_answer(content, 'v1', harness.now)
     fallen = []
     for number, contents in enumerate(ends):
-        fallen += seen.ended(end(f's{number}', *sorted(contents), account=''))
+        fallen += harness.crash(crash(f's{number}', *sorted(contents), account=''))
         # What is explained by a verdict may tell of another one.
-        fallen += seen.book.judge(seen.now)
-        fallen += seen.book.judge(seen.now)
-    assert fallen == naive([set(one) for one in ends], served)
+        fallen += harness.book.evaluate(harness.now)
+        fallen += harness.book.evaluate(harness.now)
+    assert fallen == reference_verdicts([set(one) for one in ends], served)
 
 
 def test_one_guilty_among_many_ends_three_servers_and_nobody_else_is_rejected():
     """Thirty runs of a service of six engines with 40 under way on each."""
     for seed in range(30):
         dice = random.Random(seed)
-        seen = Evidence()
+        harness = QuarantineHarness()
         fallen = []
         ended = 0
         for _ in range(10):
             mates = [f'mate-{dice.randrange(400)}' for _ in range(40)]
-            admitted = [mate for mate in mates if seen.ask(mate, 1) is TrialState.granted]
-            if not fallen and seen.ask(GUILTY, 1) is TrialState.granted:
+            admitted = [mate for mate in mates if harness.ask(mate, 1) is TrialState.granted]
+            if not fallen and harness.ask(GUILTY, 1) is TrialState.granted:
                 ended += 1
-                fallen = seen.ended(end(f's{ended}', GUILTY, *admitted))
-            seen.now += 1
+                fallen = harness.crash(crash(f's{ended}', GUILTY, *admitted))
+            harness.now += 1
         assert fallen == [GUILTY]
         assert ended <= 4
--- a/tests/test_retries/test_retries_window.py
+++ b/tests/test_retries/test_retries_window.py
@@ -23,7 +23,7 @@
     for is_repeat, pause in steps:
         now += pause
         if not is_repeat:
-            budget.requested(SERVICE, now)
+            budget.record_request(SERVICE, now)
             firsts.append(now)
         elif budget.may_retry(Retry(service=SERVICE, now=now)):
             granted.append(now)
--- a/tests/test_routing/test_routing_choice.py
+++ b/tests/test_routing/test_routing_choice.py
@@ -11,10 +11,10 @@
 
 from ringseam.deltas import DeltaReply
 from ringseam.messages import AgentState
-from ringseam.routing import AdaptiveRouter, AgentView, RoundRobinRouter, Routable, Router
+from ringseam.routing import AdaptiveRouter, AgentView, RoundRobinRouter, Router, RoutingRequest
 from ringseam.zones import DrainedZones
 
-WANTED = Routable(pool='p/q', zone='zone-1', est_ms=10)
+WANTED = RoutingRequest(pool='p/q', zone='zone-1', est_ms=10)
 
 
 def agent(number, zone='zone-1', **own):
@@ -48,7 +48,7 @@
     near, far = agent(1), agent(2, zone='zone-2')
     assert set(chosen(router, [near, far])) == {'a1'}
     for _ in range(12):
-        router.started(near)
+        router.record_start(near)
     assert set(chosen(router, [near, far])) == {'a2'}
 
 
@@ -62,8 +62,8 @@
     router = AdaptiveRouter(seed=1)
     agents = [agent(number) for number in range(4)]
     for _ in range(router.eject_failures):
-        router.started(agents[0])
-        router.ended(agents[0], failed=True, now=0)
+        router.record_start(agents[0])
+        router.record_end(agents[0], failed=True, now=0)
     assert chosen(router, agents)['a0'] == 0
     later = router.eject_s + 1
     assert chosen(router, agents, now=later)['a0'] > 0
@@ -74,8 +74,8 @@
     agents = [agent(number) for number in range(4)]
     for failing in agents[:3]:
         for _ in range(router.eject_failures):
-            router.started(failing)
-            router.ended(failing, failed=True, now=0)
+            router.record_start(failing)
+            router.record_end(failing, failed=True, now=0)
     assert len(chosen(router, agents)) == len(agents)
 
 
@@ -97,7 +97,7 @@
     view.merge('c1', drained, 1)
     # A host that lags tells what it held before.
     view.merge('c2', delta([agent(1, zone='a'), agent(2, zone='b')], whole=True), 2)
-    assert [state.zone for state in view.of_pool('p/q')] == ['b']
+    assert [state.zone for state in view.available_agents('p/q')] == ['b']
 
 
 states = st.builds(
@@ -136,7 +136,7 @@
     view.merge('a', delta([], whole=True, warm=False), 1)
     assert 'a1' in view.agents
     view.merge('b', delta([], whole=True, warm=False), 1)
-    view.drop('a')
+    view.drop_directory('a')
     assert 'a1' in view.agents
     view.merge('b', delta([], whole=True, warm=True), 9)
     assert 'a1' not in view.agents
--- a/tests/test_tries/test_tries_record.py
+++ b/tests/test_tries/test_tries_record.py
@@ -8,42 +8,42 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringseam.tries import NextTry, Tries, TryEnd, TryRecord
+from ringseam.tries import NextTry, TryLoop, TryRecord, TryResult
 
 UNSENT_TRIES = 4
 
 
 @pytest.mark.parametrize(
-    ('end', 'repeatable', 'most', 'following'),
+    ('end', 'repeatable', 'max_servers', 'following'),
     [
-        (TryEnd.final, True, 3, NextTry.none),
-        (TryEnd.unsent, True, 1, NextTry.free),
-        (TryEnd.unsent, False, 1, NextTry.free),
-        (TryEnd.refused, True, 2, NextTry.drawn),
-        (TryEnd.refused, False, 2, NextTry.drawn),
-        (TryEnd.refused, False, 1, NextTry.none),
-        (TryEnd.lost, True, 2, NextTry.drawn),
-        (TryEnd.lost, True, 1, NextTry.none),
-        (TryEnd.lost, False, 2, NextTry.none),
+        (TryResult.final, True, 3, NextTry.none),
+        (TryResult.unsent, True, 1, NextTry.free),
+        (TryResult.unsent, False, 1, NextTry.free),
+        (TryResult.refused, True, 2, NextTry.drawn),
+        (TryResult.refused, False, 2, NextTry.drawn),
+        (TryResult.refused, False, 1, NextTry.none),
+        (TryResult.lost, True, 2, NextTry.drawn),
+        (TryResult.lost, True, 1, NextTry.none),
+        (TryResult.lost, False, 2, NextTry.none),
     ],
 )
-def test_first_try(end, repeatable, most, following):
-    assert TryRecord(repeatable=repeatable, most=most).count(end) is following
+def test_first_try(end, repeatable, max_servers, following):
+    assert TryRecord(repeatable=repeatable, max_servers=max_servers).count(end) is following
 
 
-def naive(ends, *, repeatable, most):
+def naive(ends, *, repeatable, max_servers):
     """Return how many of ``ends`` are tried, from all of them at once."""
     for number, end in enumerate(ends, start=1):
         before = ends[:number]
-        reached = [one for one in before if one is not TryEnd.unsent]
-        if end is TryEnd.final or (TryEnd.lost in before and not repeatable):
+        reached = [one for one in before if one is not TryResult.unsent]
+        if end is TryResult.final or (TryResult.lost in before and not repeatable):
             return number
-        if len(reached) >= most or before.count(TryEnd.unsent) >= UNSENT_TRIES:
+        if len(reached) >= max_servers or before.count(TryResult.unsent) >= UNSENT_TRIES:
             return number
     return len(ends)
 
 
-class ScriptedTries(Tries[int]):
+class ScriptedTries(TryLoop[int]):
     """Servers 0, 1, 2, ... whose tries end as scripted."""
 
     def __init__(self, ends, record, budget=10**6):
@@ -63,31 +63,31 @@
         self.asked.append(server)
         return self.ends[server]
 
-    def draw(self):
+    def take_retry(self):
         self.budget -= 1
         return self.budget >= 0
 
 
 @given(
-    st.lists(st.sampled_from(TryEnd), max_size=8),
+    st.lists(st.sampled_from(TryResult), max_size=8),
     st.booleans(),
     st.integers(1, 4),
 )
-def test_same_as_naive(ends, repeatable, most):
-    tries = ScriptedTries(ends, TryRecord(repeatable=repeatable, most=most))
+def test_same_as_naive(ends, repeatable, max_servers):
+    tries = ScriptedTries(ends, TryRecord(repeatable=repeatable, max_servers=max_servers))
     asyncio.run(tries.run())
-    assert tries.asked == list(range(naive(ends, repeatable=repeatable, most=most)))
+    assert tries.asked == list(range(naive(ends, repeatable=repeatable, max_servers=max_servers)))
 
 
 def test_budget_that_is_used_up_ends_the_tries():
-    ends = [TryEnd.refused, TryEnd.refused, TryEnd.final]
-    tries = ScriptedTries(ends, TryRecord(repeatable=True, most=9), budget=1)
+    ends = [TryResult.refused, TryResult.refused, TryResult.final]
+    tries = ScriptedTries(ends, TryRecord(repeatable=True, max_servers=9), budget=1)
     asyncio.run(tries.run())
     assert tries.asked == [0, 1]
 
 
 def test_tries_that_reached_no_server_draw_nothing():
-    ends = [TryEnd.unsent, TryEnd.unsent, TryEnd.final]
-    tries = ScriptedTries(ends, TryRecord(repeatable=False, most=1), budget=0)
+    ends = [TryResult.unsent, TryResult.unsent, TryResult.final]
+    tries = ScriptedTries(ends, TryRecord(repeatable=False, max_servers=1), budget=0)
     asyncio.run(tries.run())
     assert tries.asked == [0, 1, 2]
