--- a/ringseam/control/diskwait.py
+++ b/ringseam/control/diskwait.py
@@ -1,4 +1,4 @@
-"""A start that waits while the data folder takes no bytes."""
+"""Delays the start of a replica while its data folder is not writable."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 logger = logging.getLogger(__name__)
 
-#: How often a start asks whether a full disk takes bytes again, seconds: a
-#: fraction of an election, so that the replica is back soon after.
+#: Seconds between two checks of a full disk: a fraction of an election timeout, so
+#: that the replica is back soon after space is free.
 DISK_RETRY_S = 0.25
 
 
 class DiskWait:
-    """Take no part while the disk is full: a replica that can't save ends at once."""
+    """Wait until the disk has space: a replica that can't write stops at once."""
 
     def __init__(self, *, node: Node, folder: str) -> None:
-        """Wait for ``folder``."""
+        """Prepare to wait for ``folder``."""
         self.node = node
         self.storage = Storage(files=DiskFiles(folder=folder))
 
     async def wait(self, stopped: Callable[[], bool]) -> None:
-        """Return once the folder takes bytes.
+        """Return once the folder is writable.
 
-        :raises StorageError: when ``stopped`` says so meanwhile.
+        :raises StorageError: when ``stopped`` returns true before that.
         """
         began = self.node.clock.now()
         if await self._is_writable():
@@ -41,11 +41,11 @@
         self.node.events.emit(logger, Event.storage_waited_for)
         while not await self._is_writable():
             if stopped():
-                raise StorageError('stopped while the data folder took no bytes')
+                raise StorageError('stopped while the data folder was not writable')
             await asyncio.sleep(DISK_RETRY_S)
         waited_s = round(self.node.clock.now() - began, 3)
         self.node.events.emit(logger, Event.storage_regained, waited_s=waited_s)
 
     async def _is_writable(self) -> bool:
-        # A disk that stalls must not hold up the signals of this process.
+        # In a thread, so that a stalled disk doesn't block the handling of signals.
         return await asyncio.to_thread(self.storage.is_writable)
--- a/ringseam/control/founding.py
+++ b/ringseam/control/founding.py
@@ -1,4 +1,4 @@
-"""How a replica finds its group: founding from blank seeds, and joining."""
+"""Group discovery: how replicas create their group, or find and join it."""
 
 from __future__ import annotations
 
@@ -26,24 +26,27 @@
 
 logger = logging.getLogger(__name__)
 
-#: Between two rounds of greetings, seconds.
+#: Seconds between two rounds of hello calls.
 _HELLO_INTERVAL_S = 0.25
-#: A hello that is unanswered for this long is lost, seconds.
+#: Timeout of a hello call, seconds.
 _HELLO_TIMEOUT_S = 0.8
 
 
 def target_voters(own: dict[str, Any]) -> int:
-    """Return how many voters bear the losses of the settings; 0: no limit."""
+    """Return the number of voters that tolerates the configured losses.
+
+    0 means no limit, for a group without seeds.
+    """
     return 2 * own['tolerated_losses'] + 1 if own['seeds'] else 0
 
 
 def cluster_addresses(seeds: tuple[str, ...], ports: tuple[int, ...]) -> tuple[str, ...]:
-    """Return where control hosts listen for other processes."""
+    """Return the addresses at which the control hosts listen for other processes."""
     return tuple(f'{split_address(seed)[0]}:{ports[0]}' for seed in seeds)
 
 
 class GroupDiscovery:
-    """Greet the known replicas until this folder is a member."""
+    """Call the known replicas until this data folder is a member of a group."""
 
     def __init__(
         self,
@@ -53,7 +56,7 @@
         actor: ActorRef[Any],
         settings: Settings,
     ) -> None:
-        """Know the addresses of the settings."""
+        """Start with the addresses from the settings."""
         self.node = node
         self.client = client
         self.actor = actor
@@ -61,21 +64,21 @@
         self.initial_addresses = tuple(settings.process['control'])
         if own['seeds']:
             self.initial_addresses = cluster_addresses(own['seeds'], own['cluster_ports'])
-        self.may_found = own['may_found']
+        self.may_create_group = own['may_found']
         self.known_addresses = set(self.initial_addresses)
 
     def add_seeds(self, settings: Settings) -> None:
-        """Learn of further replicas."""
+        """Add the addresses of the seeds in reloaded settings."""
         own = settings.own
         self.known_addresses.update(cluster_addresses(own['seeds'], own['cluster_ports']))
 
     def peer_addresses(self) -> list[str]:
-        """Return all known addresses of replicas but this one's."""
+        """Return the known addresses of all other replicas."""
         return sorted(self.known_addresses - {self.node.address})
 
     async def run(self) -> None:
-        """Greet while this folder is no member or hears no leader."""
-        while True:  # noqa: WPS457 - ends with the role
+        """Send hello calls while this folder is no member or knows no leader."""
+        while True:  # noqa: WPS457 - cancelled when the role ends
             status: ReplicaStatus = await ask(self.actor, GetReplicaStatus())
             self.known_addresses.update(member.address for member in status.members)
             if not self._has_joined(status):
@@ -97,22 +100,22 @@
         answers = {peer: reply for peer, reply in zip(addresses, replies, strict=True) if reply}
         for reply in answers.values():
             self.known_addresses.update(reply.members)
-        if not status.group and self.may_found:
+        if not status.group and self.may_create_group:
             self._create_group_if_ready(status, answers)
 
     async def _send_hello(self, address: str, hello: HelloRequest) -> HelloReply | None:
         try:
             reply = await self.client.call(address, HELLO, hello, timeout_s=_HELLO_TIMEOUT_S)
         except UnreachableError as error:
-            logger.debug('hello unanswered: %s', error)
+            logger.debug('hello call failed: %s', error)
             return None
         return reply.body
 
     def _create_group_if_ready(self, status: ReplicaStatus, answers: dict[str, HelloReply]) -> None:
-        """Found a group when every first address answers and is blank.
+        """Create a group if all initial addresses answered and none has a group.
 
-        Only the lowest address founds: two lost folders out of three must not
-        begin a new history.
+        Only the lowest address creates it. Requiring all answers keeps two replicas
+        that lost their folders, out of three, from starting a new, empty group.
         """
         others = [address for address in self.initial_addresses if address != self.node.address]
         if self.node.address != min(self.initial_addresses) or any(
--- a/ringseam/control/peerlinks.py
+++ b/ringseam/control/peerlinks.py
@@ -1,4 +1,4 @@
-"""Streams of packets to the other replicas."""
+"""Streams that carry packets to the other replicas."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
     from ringseam.metrics import Metrics
     from ringseam.rpc import CallClient
 
-    #: Runs a task until the process ends.
+    #: Starts a task that runs until the process ends.
     Spawn = Callable[[asyncio._CoroutineLike[None]], None]
 
 logger = logging.getLogger(__name__)
 
-#: Pause before a broken stream is opened again, seconds.
+#: Seconds to wait before a broken stream is reopened.
 _RECONNECT_S = 0.1
-#: Packets that wait for a slow peer; Raft sends again what is dropped.
+#: Maximum number of queued packets for a slow peer. Dropping is safe: Raft resends.
 _PEER_QUEUE_PACKETS = 1024
 
 
 class PeerLinks:
-    """One ordered stream of packets to each peer; a full one drops packets."""
+    """An ordered stream of packets to each peer, with a bounded queue."""
 
     def __init__(self, *, client: CallClient, metrics: Metrics, spawn: Spawn) -> None:
-        """Send through ``client``, from tasks that ``spawn`` starts."""
+        """Send through ``client``, in tasks started with ``spawn``."""
         self.client = client
         self.metrics = metrics
         self.spawn = spawn
         self.queues: dict[str, asyncio.Queue[Packet]] = {}
 
     def send(self, address: str, packet: Packet) -> None:
-        """Queue a packet; Raft sends again what is lost."""
+        """Queue a packet, or drop it if the queue is full; Raft resends lost packets."""
         if address not in self.queues:
             self.queues[address] = asyncio.Queue(_PEER_QUEUE_PACKETS)
             self.spawn(self._run_stream(address))
@@ -48,11 +48,11 @@
             self.metrics.add('peer_bytes', packet.payload_bytes, peer=address)
 
     async def _run_stream(self, address: str) -> None:
-        while True:  # noqa: WPS457 - ends with the role
+        while True:  # noqa: WPS457 - cancelled when the role ends
             try:
                 await self.client.stream(address, PACKETS, self.queues[address])
             except UnreachableError as error:
-                logger.debug('peer link broke: %s', error)
+                logger.debug('stream to a peer broke: %s', error)
             await asyncio.sleep(_RECONNECT_S)
             while not self.queues[address].empty():
                 self.queues[address].get_nowait()
--- a/ringseam/control/peermessages.py
+++ b/ringseam/control/peermessages.py
@@ -1,4 +1,4 @@
-"""What control hosts say to each other beside the packets of the log."""
+"""RPC methods and messages between control hosts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HelloRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """A replica's data folder introduces itself; no group means blank."""
+    """Data folder of the calling replica; ``group`` is empty before it joins one."""
 
     disk: str
     address: str
@@ -16,12 +16,12 @@
 
 
 class HelloReply(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """The data folder of the replica that was asked."""
+    """Data folder of the replica that was called."""
 
     disk: str
     address: str
     group: str = ''
-    #: Where other replicas are, as far as the one that was asked knows.
+    #: Addresses of the group's members, as known to the replica that was called.
     members: tuple[str, ...] = ()
 
 
--- a/ringseam/control/raft.py
+++ b/ringseam/control/raft.py
@@ -1,7 +1,10 @@
-"""The Raft algorithm as a plain class: messages and time in, a Ready out.
+"""The Raft consensus algorithm as a plain class without I/O.
+
+The caller passes in messages and the current time, and performs what
+:class:`Ready` lists.
 
 Source: Ongaro, "Consensus: Bridging Theory and Practice", 2014: pre-vote
-(9.6), check-quorum (6.2), read-index (6.4), one-server membership changes
+(9.6), check-quorum (6.2), read-index (6.4), single-server membership changes
 (4.1-4.3) and leadership transfer (3.10).
 """
 
@@ -25,22 +28,22 @@
 
 
 class Raft(Replication):  # noqa: WPS214 - one algorithm, many small rules
-    """One replica's part in the agreement."""
+    """One replica's instance of the algorithm: elections, proposals and reads."""
 
     @property
     def can_serve(self) -> bool:
-        """Return whether a leader's own first entry is committed."""
+        """Return whether this replica leads and has committed an entry of its own term."""
         return self.is_leader and self.log.term_at(self.commit_index) == self.term
 
     def tick(self, now: float) -> None:
-        """Let time pass: campaign, or keep and check the quorum."""
+        """Check the leader's quorum, or start an election when the timeout has passed."""
         if self.is_leader:
             self._tick_leader(now)
         elif now >= self.election_deadline and self._is_voter():
             self._campaign(now, pre=True)
 
     def step(self, source: str, message: RaftMessage, now: float) -> None:
-        """Take in a message from replica ``source``."""
+        """Handle a message from replica ``source``."""
         if isinstance(message, VoteRequest):
             self._on_vote_request(source, message, now)
             return
@@ -56,20 +59,30 @@
             self._on_leader_message(source, message, now)
 
     def propose(self, payload: bytes) -> int | None:
-        """Append a command; None when this replica doesn't lead."""
+        """Append a command and return its index.
+
+        Returns None when this replica doesn't lead or is transferring leadership.
+        """
         if not self.is_leader or self.transfer_target:
             return None
         return self._append(EntryKind.command, payload)
 
     def change_membership(self, membership: Membership) -> int | None:
-        """Append a change of one member; None when it can't be now."""
-        settled = self.membership_history[-1][0] <= self.commit_index
-        if not (self.can_serve and settled) or self.transfer_target:
+        """Append a change of one member and return its index.
+
+        Returns None when this replica can't serve, while an earlier change is not
+        committed, and during a leadership transfer.
+        """
+        previous_committed = self.membership_history[-1][0] <= self.commit_index
+        if not (self.can_serve and previous_committed) or self.transfer_target:
             return None
         return self._append(EntryKind.membership, encode_membership(membership))
 
     def read(self, token: int) -> bool:
-        """Ask that ``token`` comes back once a read here is linearizable."""
+        """Start a linearizable read; False when this replica can't serve.
+
+        ``token`` appears in ``Ready.reads`` once a quorum has confirmed leadership.
+        """
         if not self.can_serve:
             return False
         self.read_round += 1
@@ -79,7 +92,10 @@
         return True
 
     def transfer_leadership(self, now: float) -> bool:
-        """Give leadership to the max_entries advanced voter; False when nobody can."""
+        """Start a transfer of leadership to the voter with the longest matching log.
+
+        Returns False when this replica doesn't lead or there is no other voter.
+        """
         peers = [disk for disk in self.membership.voters if disk in self.progress]
         if not self.is_leader or not peers:
             return False
@@ -88,13 +104,13 @@
         return True
 
     def mark_persisted(self) -> None:
-        """Hear that all taken entries are synced here."""
+        """Record that all entries of the log are synced to this replica's disk."""
         self.persisted_index = self.log.last_index
         if self.is_leader:
             self._advance_commit()
 
     def take_ready(self, now: float) -> Ready:
-        """Return what must be done since the last call."""
+        """Return the work that arose since the last call."""
         if self.is_leader:
             self._replicate(now)
             self._release_reads()
@@ -142,8 +158,8 @@
         if request.pre:
             granted = granted and request.term > self.term
         else:
-            free = self.voted_for in {'', source}
-            granted = granted and request.term == self.term and free
+            may_vote = self.voted_for in {'', source}
+            granted = granted and request.term == self.term and may_vote
         if not granted:
             self._reject_vote(source, request)
             return
@@ -156,9 +172,9 @@
         self._send(source, VoteReply(term=self.term, granted=False, pre=request.pre))
 
     def _on_vote_reply(self, source: str, reply: VoteReply, now: float) -> None:
-        expected = RaftRole.pre_candidate if reply.pre else RaftRole.candidate
-        wanted = self.term + 1 if reply.pre else self.term
-        if self.role is expected and reply.granted and reply.term == wanted:
+        expected_role = RaftRole.pre_candidate if reply.pre else RaftRole.candidate
+        expected_term = self.term + 1 if reply.pre else self.term
+        if self.role is expected_role and reply.granted and reply.term == expected_term:
             self.votes[source] = True
             self._count_votes(now)
 
--- a/ringseam/control/raftreplication.py
+++ b/ringseam/control/raftreplication.py
@@ -1,4 +1,4 @@
-"""Replication of the log: the leader's side and the followers'."""
+"""Log replication, for both the leader and the followers."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 )
 from ringseam.control.raftstate import Progress, RaftState
 
-#: Most entries in one message, and max_entries that a follower may be behind what was sent.
+#: Maximum number of entries in one message, and of entries that were sent to a
+#: follower but not yet confirmed by it.
 _MAX_BATCH_ENTRIES = 256
 _MAX_IN_FLIGHT_ENTRIES = 4096
-#: The same in bytes, for entries that are whole documents. A message is copied while
-#: it is sealed, sent and read; a window is 4 of the 300 MB of a host, for each follower.
+#: The same limits in bytes, because an entry can be a whole document. A message is
+#: copied while it is authenticated, sent and read; a host has 300 MB of memory, and the
+#: unconfirmed entries may take 4 MB of it per follower.
 _MAX_BATCH_BYTES = 2**20
 _MAX_IN_FLIGHT_BYTES = 4 * 2**20
-#: A snapshot that was not confirmed is sent again after this long, seconds.
+#: Seconds after which an unconfirmed snapshot is sent again.
 _SNAPSHOT_RESEND_S = 2.0
 
 
 class Replication(RaftState):  # noqa: WPS214 - many small rules
-    """Send entries and snapshots, take them in, and count what is held."""
+    """Send and receive entries and snapshots, and advance the commit index."""
 
     def _update_progress(self, now: float) -> None:
         members = {member.disk for member in self.membership.members} - {self.disk}
@@ -44,8 +46,8 @@
             self._replicate_to(disk, progress, now)
 
     def _replicate_to(self, disk: str, progress: Progress, now: float) -> None:
-        due = now - progress.sent_at >= self.heartbeat_s
-        if not due and (progress.probing or not self._has_pending(progress)):
+        heartbeat_due = now - progress.sent_at >= self.heartbeat_s
+        if not heartbeat_due and (progress.probing or not self._has_pending(progress)):
             return
         if self.log.term_at(progress.next_index - 1) is None:
             self._send_snapshot(disk, progress, now)
@@ -60,17 +62,18 @@
         return bool(self.reads) and progress.read_round < self.read_round
 
     def _can_send_entries(self, progress: Progress) -> bool:
-        """Return whether entries wait that a follower has room for.
+        """Return whether there are entries to send within the follower's limits.
 
-        None while it isn't known what the follower holds: an empty message asks
-        that, where entries would go out again with every heartbeat until it answers.
+        While the follower's last matching index is unknown (probing), only empty
+        messages are sent: entries would be sent again with every heartbeat until
+        the follower answers.
         """
         next_index = progress.next_index
         if progress.probing or next_index > self.log.last_index:
             return False
         unconfirmed_bytes = self.log.bytes_between(progress.match + 1, next_index - 1)
-        in_entries = next_index <= progress.match + _MAX_IN_FLIGHT_ENTRIES
-        return in_entries and unconfirmed_bytes < _MAX_IN_FLIGHT_BYTES
+        within_entries = next_index <= progress.match + _MAX_IN_FLIGHT_ENTRIES
+        return within_entries and unconfirmed_bytes < _MAX_IN_FLIGHT_BYTES
 
     def _send_entries(self, disk: str, progress: Progress, now: float) -> None:
         first = progress.next_index
@@ -97,7 +100,7 @@
     def _send_snapshot(self, disk: str, progress: Progress, now: float) -> None:
         progress.sent_at = now
         if now < progress.snapshot_resend_at:
-            # The follower is busy taking it: a heartbeat that any log accepts.
+            # The follower may still be installing it: send a heartbeat that any log accepts.
             self._send(
                 disk,
                 AppendRequest(
@@ -182,10 +185,10 @@
         self._reply_append(source, request, accepted=True, match=match)
 
     def _accept_entry(self, entry: LogEntry) -> None:
-        held = self.log.term_at(entry.index)
-        if held == entry.term:
+        known_term = self.log.term_at(entry.index)
+        if known_term == entry.term:
             return
-        if held is not None:
+        if known_term is not None:
             self.log.truncate(entry.index)
             self._discard_from(entry.index)
         self._store(entry)
@@ -194,7 +197,9 @@
         earliest = self.ready.truncate_from
         self.ready.truncate_from = index if earliest is None else min(index, earliest)
         self.ready.entries = [kept for kept in self.ready.entries if kept.index < index]
-        self.membership_history = [known for known in self.membership_history if known[0] < index]
+        self.membership_history = [
+            version for version in self.membership_history if version[0] < index
+        ]
         self.persisted_index = min(self.persisted_index, index - 1)
 
     def _reply_append(
--- a/ringseam/control/raftstate.py
+++ b/ringseam/control/raftstate.py
@@ -1,4 +1,4 @@
-"""What a replica remembers of the agreement, and what it must do next."""
+"""State of a Raft replica, and the work that it hands to its caller."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: A replica that has just started, or was not elected, asks for votes after this
-#: fraction of the usual time: asking first (pre-vote) disturbs no leader.
+#: A replica that has just started, or was not elected, campaigns after this fraction
+#: of the election timeout. The pre-vote keeps this from disturbing a working leader.
 EARLY_ELECTION_FRACTION = 0.4
 
 
 class RaftRole(enum.Enum):
-    """What a replica does in its term."""
+    """Role of a replica in its current term."""
 
     follower = 'follower'
     pre_candidate = 'pre-candidate'
@@ -37,7 +37,7 @@
 
 @dataclass(kw_only=True)
 class Progress:
-    """What the leader knows of one peer."""
+    """What the leader knows about a peer's log; ``probing`` until ``match`` is known."""
 
     next_index: int
     match: int = 0
@@ -50,7 +50,7 @@
 
 @dataclass(kw_only=True)
 class Ready:
-    """What must be done now, in this order: save, send, apply."""
+    """Work for the caller, in this order: save, send, apply."""
 
     hard_state: HardState | None = None
     truncate_from: int | None = None
@@ -62,14 +62,14 @@
 
     @property
     def must_save(self) -> bool:
-        """Return whether anything must be synced before sending."""
+        """Return whether something must be synced to disk before messages are sent."""
         changed = self.hard_state is not None or self.truncate_from is not None
         return changed or bool(self.entries) or self.snapshot is not None
 
 
 @dataclass(kw_only=True)
 class PendingRead:
-    """A read that waits for a round of heartbeats."""
+    """A linearizable read that waits for a round of heartbeats to be confirmed."""
 
     token: int
     index: int
@@ -77,7 +77,7 @@
 
 
 class RaftState:
-    """One replica's term, log and view of its peers."""
+    """A replica's term, role and log, and its knowledge of its peers."""
 
     def __init__(
         self,
@@ -90,14 +90,14 @@
         seed: int,
         now: float,
     ) -> None:
-        """Begin as a follower with what the data folder holds."""
+        """Start as a follower with the state that was loaded from the data folder."""
         self.disk = disk
         self.log = log
         self.term = hard_state.term
         self.voted_for = hard_state.voted_for
         self.election_s = election_s
         self.heartbeat_s = heartbeat_s
-        self.random = random.Random(seed)  # noqa: S311 - spreads elections only
+        self.random = random.Random(seed)  # noqa: S311 - randomizes election timeouts only
         self.role = RaftRole.follower
         self.leader = ''
         self.leader_contact_at = float('-inf')
@@ -125,7 +125,7 @@
         return self.role is RaftRole.leader
 
     def compact_to(self, snapshot: Snapshot) -> None:
-        """Hear that entries up to the snapshot's index were replaced by it."""
+        """Replace the entries up to the snapshot's index by the snapshot."""
         self.log.compact(snapshot)
         self.membership_history = self.log.memberships()
 
--- a/ringseam/control/replica.py
+++ b/ringseam/control/replica.py
@@ -1,4 +1,4 @@
-"""One replica: Raft, its storage and the state machine."""
+"""One replica: connects Raft, storage and the state machine."""
 
 from __future__ import annotations
 
@@ -50,9 +50,10 @@
 
 
 class Replica:
-    """Drive Raft: save, then send, then apply.
+    """Run Raft: persist its state, then send messages, then apply entries.
 
-    A plain class: its actor gives it messages, tests give them directly.
+    A plain class without a thread: messages come from :class:`ReplicaActor`, or
+    from a test directly.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         callbacks: ReplicaCallbacks,
         seed: int,
     ) -> None:
-        """Load the folder and begin as a follower."""
+        """Load the data folder and start as a follower."""
         self.node = node
         self.storage = storage
         self.settings = settings
@@ -85,13 +86,13 @@
         self.callbacks.state_changed(self.state_machine)
 
     def receive(self, body: Any, reply_to: ReplyTo | None = None) -> None:
-        """Take in one message; ``flush`` must follow."""
+        """Handle one message; the caller must call ``flush`` afterwards."""
         _HANDLERS[type(body)](self, body, reply_to)
 
     # -- messages -----------------------------------------------------------
 
     def propose(self, request: Propose, reply_to: ReplyTo) -> None:
-        """Append a command to the log."""
+        """Append a command to the log; the reply follows once it is applied."""
         index = self.raft.propose(encode_command(request.command))
         if index is None:
             reply_to.send(self._not_leading())
@@ -102,7 +103,10 @@
             )
 
     def deliver(self, deliver: Deliver, reply_to: ReplyTo | None) -> None:
-        """Step Raft with messages that are meant for this folder."""
+        """Pass a packet's messages to Raft if they are for this data folder and group.
+
+        A replica without a group joins the group of the first packet.
+        """
         packet = deliver.packet
         if packet.target != self.identity.disk or not packet.group:
             return
@@ -116,7 +120,7 @@
             self.raft.step(packet.source, message, now)
 
     def tick(self, tick: Tick, reply_to: ReplyTo | None) -> None:
-        """Tick Raft and repair the membership."""
+        """Advance Raft's timers and propose a membership change if one is due."""
         if not self.identity.group:
             return
         now = self.node.clock.now()
@@ -127,17 +131,17 @@
                 self._log_members(change)
 
     def form_group(self, form: FormGroup, reply_to: ReplyTo | None) -> None:
-        """Found the group: its first snapshot names the members."""
+        """Create a group whose first snapshot holds the members; no-op within a group."""
         if self.identity.group:
             return
         self._create_group(Membership(form.members))
 
     def record_non_member(self, seen: NonMemberSeen, reply_to: ReplyTo | None) -> None:
-        """Remember a blank folder at an address, for repair."""
+        """Record a data folder outside the group, as a candidate for membership."""
         self.repair.record(seen.disk, seen.address, self.node.clock.now())
 
     def read_barrier(self, request: ReadBarrier, reply_to: ReplyTo) -> None:
-        """Begin a linearizable read."""
+        """Start a linearizable read."""
         self.pending.next_read += 1
         if self.raft.read(self.pending.next_read):
             self.pending.reads[self.pending.next_read] = reply_to
@@ -145,17 +149,17 @@
             reply_to.send(self._not_leading())
 
     def transfer_leadership(self, request: TransferLeadership, reply_to: ReplyTo) -> None:
-        """Begin to give leadership away."""
+        """Start a transfer of leadership to another voter."""
         reply_to.send(self.raft.transfer_leadership(self.node.clock.now()))
 
     def find_apply(self, request: FindApply, reply_to: ReplyTo) -> None:
-        """Tell whether an apply was accepted before."""
+        """Reply whether an apply was accepted, now or earlier."""
         reply_to.send(
             self.state_machine.was_accepted(request.part, request.expect, request.apply_id)
         )
 
     def status(self, request: GetReplicaStatus, reply_to: ReplyTo) -> None:
-        """Tell how this replica stands."""
+        """Reply with a :class:`ReplicaStatus`."""
         reply_to.send(
             ReplicaStatus(
                 disk=self.identity.disk,
@@ -169,13 +173,13 @@
             ),
         )
 
-    # -- driving ------------------------------------------------------------
+    # -- work from Raft ------------------------------------------------------
 
     def flush(self) -> None:
-        """Save, send and apply until Raft has nothing more to do."""
+        """Save, send and apply until Raft has no more work."""
         if not self.identity.group:
             return
-        while True:  # noqa: WPS457 - ends when Raft is at rest
+        while True:  # noqa: WPS457 - ends when Raft has no more work
             ready = self.raft.take_ready(self.node.clock.now())
             if ready.must_save:
                 self._save(ready)
@@ -220,7 +224,7 @@
         for target, message in messages:
             batch = by_target.setdefault(target, [])
             if payload_bytes(message) and batch:
-                # Each large message travels alone, so that no packet outgrows one.
+                # A packet has at most one message with a payload, which bounds its size.
                 self._send_packet(target, batch)
                 batch.clear()
             batch.append(message)
@@ -246,8 +250,8 @@
                 outcome = self.state_machine.apply(entry.payload)
             pending = self.pending.commands.pop(entry.index, None)
             if pending is not None:
-                same = pending.term == entry.term
-                pending.reply_to.send(outcome if same else self._not_leading())
+                same_term = pending.term == entry.term
+                pending.reply_to.send(outcome if same_term else self._not_leading())
         if self.state_machine.watched_version != watched_version:
             self.callbacks.state_changed(self.state_machine)
 
@@ -257,7 +261,7 @@
         log = self.raft.log
         log_bytes = log.total_bytes
         index = self.raft.applied_index
-        membership = [known for at, known in self.raft.membership_history if at <= index][-1]
+        membership = [past for at, past in self.raft.membership_history if at <= index][-1]
         snapshot = Snapshot(
             index=index,
             term=log.term_at(index) or 0,
@@ -279,11 +283,12 @@
         )
 
     def _is_compaction_due(self) -> bool:
-        """Return whether a snapshot should replace what was applied.
+        """Return whether a snapshot should replace the applied entries.
 
-        Entries can be whole documents, so bytes count as well: else 160 changes of a
-        document of 0.8 MB fill a disk of 128 MB. A log that has not outgrown the last
-        snapshot is kept, so that no more is written than twice what was proposed.
+        An entry can be a whole document, so the size counts as well: otherwise 160
+        changes of a document of 0.8 MB would fill a disk of 128 MB. A log smaller
+        than the last snapshot is kept, which limits the bytes written to twice the
+        bytes proposed.
         """
         log = self.raft.log
         first = log.snapshot.index + 1
@@ -309,7 +314,7 @@
         group = f'g-{self.identity.disk}'
         snapshot = Snapshot(index=1, term=1, membership=membership)
         hard_state = HardState(1, '')
-        # The snapshot is synced before the identity names the group.
+        # Sync the snapshot first, so that a crash can't leave a group without members.
         self.storage.save_snapshot(snapshot, hard_state, [])
         self._join(group)
         self.raft = self._new_raft(Log(snapshot=snapshot, entries=[]), hard_state)
@@ -370,7 +375,7 @@
     def _address_of(self, disk: str) -> str:
         member = self.raft.membership.find(disk)
         if member is None:
-            # A replica that has just joined doesn't hold the membership yet.
+            # A replica that has just joined has no membership in its log yet.
             return self.learned_addresses.get(disk, '')
         return member.address
 
@@ -385,7 +390,7 @@
         )
 
 
-_HANDLERS = {  # noqa: WPS407 - one per message type
+_HANDLERS = {  # noqa: WPS407 - one for each message type
     Propose: Replica.propose,
     Deliver: Replica.deliver,
     Tick: Replica.tick,
--- a/ringseam/control/replicaactor.py
+++ b/ringseam/control/replicaactor.py
@@ -1,4 +1,4 @@
-"""The actor that runs one replica on a thread of its own."""
+"""The actor that runs one replica on its own thread."""
 
 from __future__ import annotations
 
@@ -18,21 +18,24 @@
 
 
 class ReplicaActor(pykka.ThreadingActor):
-    """Run a replica on a thread of its own.
+    """Run a replica on its own thread.
 
-    Messages that wait in the inbox are taken in before the folder is synced
-    once for all of them (group commit).
+    With group commit, all messages that are waiting in the inbox are handled before
+    the data folder is synced once for all of them.
     """
 
     use_daemon_thread = True
 
     def __init__(self, *, replica: Replica) -> None:
-        """Run ``replica``."""
+        """Create the actor of ``replica``."""
         super().__init__()
         self.replica = replica
 
     def on_receive(self, message: Any) -> None:
-        """Handle one message, and flush when no more wait."""
+        """Handle one message; flush when the inbox is empty or group commit is off.
+
+        A storage failure stops the actor.
+        """
         reply_to = None
         body = message
         if isinstance(message, Ask):
@@ -48,9 +51,11 @@
             self.stop()
 
     def on_stop(self) -> None:
-        """Close the folder."""
+        """Close the data folder."""
         self.replica.storage.close()
 
     def on_failure(self, *failure: Any) -> None:
-        """Tell the process: a replica without its actor must not live on."""
-        self.replica.callbacks.failed(f'replica broke: {failure[1]!r}')
+        """Report the failure: the process must not go on without its replica."""
+        self.replica.callbacks.failed(
+            f'replica failed with an unexpected exception: {failure[1]!r}'
+        )
--- a/ringseam/control/replicamessages.py
+++ b/ringseam/control/replicamessages.py
@@ -1,4 +1,4 @@
-"""What a replica is told, asked and answers with."""
+"""Messages to a replica, its replies, and its settings and callbacks."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReplicaSettings:
-    """Durations in seconds."""
+    """Settings of a replica; durations are in seconds."""
 
     election_s: float
     heartbeat_s: float
-    #: A snapshot replaces the log after this many entries or payload bytes.
+    #: The log is replaced by a snapshot after this many entries or payload bytes.
     snapshot_entries: int
     snapshot_bytes: int = 8 * 2**20
     group_commit: bool = True
-    #: How many voters the group grows to; 0 stands for no limit.
+    #: Number of voters that the group grows to; 0 means no limit.
     target_voters: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Propose:
-    """Commit a command; the reply is its result or ``NotLeading``."""
+    """Commit a command; the reply is its result or :class:`NotLeading`."""
 
     command: Command
 
 
 @dataclass(frozen=True, kw_only=True)
 class NotLeading:
-    """This replica can't commit now; ``leader`` may."""
+    """Reply of a replica that can't commit now; ``leader`` may be able to."""
 
     leader: str = ''
 
 
 @dataclass(frozen=True, kw_only=True)
 class Deliver:
-    """Messages arrived from the replica at ``address``."""
+    """Deliver a packet from the replica at ``address``."""
 
     packet: Packet
     address: str
@@ -52,19 +52,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Tick:
-    """The timer of the event loop fired."""
+    """Advance the replica's timers."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class FormGroup:
-    """Found a new group with these members, all known to be blank."""
+    """Create a group with these members, whose data folders all have no group yet."""
 
     members: tuple[Member, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class NonMemberSeen:
-    """A blank folder was seen at a configured address."""
+    """Report a data folder that asks to join, at an address that may do so."""
 
     disk: str
     address: str
@@ -72,24 +72,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadBarrier:
-    """Reply ``ReadConfirmed`` once a read here is so, or ``NotLeading``."""
+    """Start a linearizable read; the reply is ``ReadConfirmed`` or ``NotLeading``."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReadConfirmed:
-    """A quorum confirmed this replica as the leader of ``term``."""
+    """A quorum confirmed this replica as leader of ``term``: reads are linearizable."""
 
     term: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class TransferLeadership:
-    """Give leadership away; the reply says whether it was tried."""
+    """Transfer leadership; the reply says whether a transfer was started."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class FindApply:
-    """Ask whether this apply was accepted before, be it long ago."""
+    """Ask whether this apply was accepted, now or earlier."""
 
     part: str
     expect: int
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReplicaStatus:
-    """How this replica stands."""
+    """State of a replica, for status queries."""
 
     disk: str
     group: str
@@ -117,32 +117,35 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Leadership:
-    """Who leads, as this replica knows; ``can_serve`` when it does so itself."""
+    """The leader that this replica knows of.
+
+    ``can_serve`` is true when this replica leads and may serve requests.
+    """
 
     term: int = 0
     leader: str = ''
     can_serve: bool = False
     voters: int = 0
     members: tuple[str, ...] = ()
-    #: Whether this replica's folder belongs to the membership it knows.
+    #: Whether this replica's data folder is in the latest membership that it knows.
     is_member: bool = False
 
 
 @dataclass(kw_only=True)
 class ReplicaCallbacks:
-    """Where the actor's effects go; each is called on the actor's thread."""
+    """Functions through which a replica acts; all are called on its actor's thread."""
 
     send: Callable[[str, Packet], None]
     state_changed: Callable[[StateMachine], None]
     failed: Callable[[str], None]
     leadership_changed: Callable[[Leadership], None] = lambda leadership: None
-    #: Told the payload bytes of the log after each flush.
+    #: Called with the payload size of the log after each flush.
     log_changed: Callable[[int], None] = lambda total_bytes: None
 
 
 @dataclass(frozen=True, kw_only=True)
 class PendingCommand:
-    """Who waits for the entry at an index, and the term it was given."""
+    """The request that waits for a log entry, and the entry's term when proposed."""
 
     term: int
     reply_to: ReplyTo
@@ -150,7 +153,7 @@
 
 @dataclass(kw_only=True)
 class PendingRequests:
-    """Askers whose answer needs the quorum."""
+    """Requests that wait for a quorum: commands by index, reads by token."""
 
     commands: dict[int, PendingCommand] = field(default_factory=dict)
     reads: dict[int, ReplyTo] = field(default_factory=dict)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces: files in memory, and replicas over a fake network."""
+"""Fakes: files in memory, and control replicas on a simulated network."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class MemoryFiles(Files):
-    """Files that keep what was synced apart from what was only written."""
+    """Files in memory that track separately what was written and what was synced."""
 
     def __init__(self):
         self.written = {}
@@ -69,10 +69,10 @@
         del self.written[name][size:]
 
     def close(self):
-        """Keep nothing open."""
+        """Do nothing: there are no open files."""
 
     def crash(self):
-        """Lose all that was not synced."""
+        """Discard everything that was not synced."""
         self.written = {
             name: bytearray(self.synced.get(name, b'')) for name in sorted(self.synced_names)
         }
@@ -82,7 +82,7 @@
 
 
 class Reply:
-    """A reply that a test looks at."""
+    """Stands in for ``ReplyTo``; records the first reply."""
 
     def __init__(self):
         self.sent = None
@@ -94,7 +94,7 @@
 
 @dataclass
 class Host:
-    """One control host: an address, a folder and maybe a running replica."""
+    """A control host: an address, a data folder and, while it runs, a replica."""
 
     address: str
     files: MemoryFiles = field(default_factory=MemoryFiles)
@@ -102,7 +102,11 @@
 
 
 class Network:
-    """Replicas over a network that delays, drops and cuts; seeded."""
+    """Replicas on a simulated network that delays, reorders and drops packets.
+
+    All randomness comes from ``seed``. ``cuts`` holds the pairs (source, target)
+    between which nothing is delivered.
+    """
 
     def __init__(self, count=3, seed=1, snapshot_entries=20, founders=0, target_voters=0):
         self.random = random.Random(seed)
@@ -115,7 +119,7 @@
         )
         self.hosts = {f'10.0.0.{number}:1': None for number in range(1, count + 1)}
         self.hosts = {address: Host(address=address) for address in self.hosts}
-        #: Hosts that may found the group; the others join it.
+        #: Hosts that create the group; the others join it.
         self.founders = sorted(self.hosts)[: founders or count]
         self.packets = []
         self.cuts = set()
@@ -142,7 +146,7 @@
         )
 
     def crash(self, address):
-        """Kill a replica; what it did not sync is lost."""
+        """Stop a replica and discard what it did not sync."""
         self.hosts[address].replica = None
         self.hosts[address].files.crash()
 
@@ -151,12 +155,12 @@
         self.start(address)
 
     def lose_disk(self, address):
-        """Lose a folder; the host starts again with a blank one."""
+        """Restart a host with an empty data folder."""
         self.hosts[address].files = MemoryFiles()
         self.start(address)
 
     def add(self, address):
-        """Start a new host with a blank folder at a new address."""
+        """Start a new host with an empty data folder at a new address."""
         self.hosts[address] = Host(address=address)
         self.start(address)
 
@@ -164,7 +168,7 @@
         return [host.replica for host in self.hosts.values() if host.replica is not None]
 
     def isolate(self, address):
-        """Cut a host from all others, both ways."""
+        """Block packets between a host and all others, in both directions."""
         for other in self.hosts:
             if other != address:
                 self.cuts |= {(address, other), (other, address)}
@@ -198,10 +202,10 @@
             if check():
                 return
             self.step()
-        raise AssertionError('the condition did not come')
+        raise AssertionError('condition not met within the simulated time limit')
 
     def _exchange_hellos(self):
-        """Do what blank hosts do: introduce themselves; maybe found a group."""
+        """Simulate group discovery: announce non-members, and create the group."""
         for address, host in self.hosts.items():
             if host.replica is None or _is_member(host.replica):
                 continue
@@ -225,7 +229,7 @@
                 ]
                 host.replica.receive(FormGroup(members=tuple(members)))
 
-    # -- use -----------------------------------------------------------------
+    # -- requests ------------------------------------------------------------
 
     def leader(self):
         leading = [replica for replica in self.running() if replica.raft.can_serve]
@@ -242,7 +246,7 @@
         return reply
 
     def apply(self, expect, text='file', part='demo'):
-        """Apply through whoever leads until it is accepted."""
+        """Apply a file, asking the current leader until one answers."""
         command = ApplyFile(part=part, text=text, expect=expect, apply_id=f'{expect}-{text}')
         reply = None
 
@@ -269,7 +273,7 @@
         return revision
 
     def read_revision(self):
-        """Return the revision at a linearizable read."""
+        """Return the revision after a linearizable read; None if it was refused."""
         reply = self.ask(self.await_leader(), ReadBarrier())
         self.run_until(lambda: reply.sent is not None)
         return (
@@ -280,7 +284,7 @@
 
 
 def _is_member(replica):
-    """Return whether a replica knows itself to be in the group and hears it."""
+    """Return whether a replica is in its own membership and knows a leader."""
     known = replica.raft.membership.find(replica.identity.disk)
     return bool(replica.identity.group and known and replica.raft.leader)
 
--- a/tests/test_control/test_control_diskwait.py
+++ b/tests/test_control/test_control_diskwait.py
@@ -1,4 +1,4 @@
-"""A start on a disk that is full."""
+"""Start of a control host on a full disk."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.fakes import MemoryFiles
 
 
-class DiskWithRoomLater(MemoryFiles):
-    """Full for the first few writes."""
+class InitiallyFullDisk(MemoryFiles):
+    """A disk that is full for the first ``refusals`` writes."""
 
     def __init__(self, refusals):
         super().__init__()
@@ -33,8 +33,8 @@
 
 
 @pytest.fixture
-def wait_for(logged, monkeypatch, tmp_path):
-    """Return a wait for files that notes the events it logs."""
+def make_wait(logged, monkeypatch, tmp_path):
+    """Return a factory of waits that record the events they log."""
     monkeypatch.setattr(diskwait, 'DISK_RETRY_S', 0)
     node = Node(name='c1', role='control', address='c1', secret=b'x')
     node.events.emit = lambda logger, event, **fields: logged.append(event.name)
@@ -58,17 +58,20 @@
     assert files.names() == []
 
 
-def test_start_waits_until_the_disk_takes_bytes(wait_for, logged):
-    """Seen on a played day: 14 starts that each ended with storage_failed."""
-    asyncio.run(wait_for(DiskWithRoomLater(3)).wait(lambda: False))
+def test_start_waits_until_the_disk_takes_bytes(make_wait, logged):
+    """Guards against starts that fail one after another while the disk is full.
+
+    Without the wait, 14 starts in a row ended with storage_failed.
+    """
+    asyncio.run(make_wait(InitiallyFullDisk(3)).wait(lambda: False))
     assert logged == ['storage_waited_for', 'storage_regained']
 
 
-def test_start_on_a_sound_disk_says_nothing(wait_for, logged):
-    asyncio.run(wait_for(MemoryFiles()).wait(lambda: False))
+def test_start_on_a_sound_disk_says_nothing(make_wait, logged):
+    asyncio.run(make_wait(MemoryFiles()).wait(lambda: False))
     assert logged == []
 
 
-def test_stop_ends_the_wait(wait_for):
+def test_stop_ends_the_wait(make_wait):
     with pytest.raises(StorageError, match='stopped'):
-        asyncio.run(wait_for(DiskWithRoomLater(10)).wait(lambda: True))
+        asyncio.run(make_wait(InitiallyFullDisk(10)).wait(lambda: True))
--- a/tests/test_control/test_control_membership.py
+++ b/tests/test_control/test_control_membership.py
@@ -1,4 +1,4 @@
-"""A group that grows from its founders and repairs itself at other addresses."""
+"""Growth of a group beyond its initial members, and repair at other addresses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 )
 from tests.fakes import Network
 
-FIRST = [f'10.0.0.{number}:1' for number in range(1, 6)]
+INITIAL_ADDRESSES = [f'10.0.0.{number}:1' for number in range(1, 6)]
 
 
 def grown_network(seed=1):
@@ -27,20 +27,20 @@
     return sorted(member.address for member in members if member.voter)
 
 
-def put(network, number, document=b'x'):
-    """Put a document in force, through whoever leads until it is acknowledged."""
-    outcome = []
+def commit_document(network, number, document=b'x'):
+    """Commit a document, asking the current leader until one acknowledges it."""
+    replies = []
 
     def acknowledged():
-        if not outcome or not isinstance(outcome[-1].sent, (DocumentPut, type(None))):
+        if not replies or not isinstance(replies[-1].sent, (DocumentPut, type(None))):
             leader = network.leader()
             if leader is not None:
                 command = PutDocument(number=number, document=document)
-                outcome.append(network.ask(leader, Propose(command=command)))
-        return outcome and isinstance(outcome[-1].sent, DocumentPut)
+                replies.append(network.ask(leader, Propose(command=command)))
+        return replies and isinstance(replies[-1].sent, DocumentPut)
 
     network.run_until(acknowledged)
-    return outcome[-1].sent
+    return replies[-1].sent
 
 
 def document_in_force(network):
@@ -51,14 +51,14 @@
 @pytest.mark.parametrize('seed', range(4))
 def test_group_of_three_founders_grows_to_five(seed):
     network = grown_network(seed)
-    assert voters(network) == FIRST
+    assert voters(network) == INITIAL_ADDRESSES
 
 
 @pytest.mark.parametrize('seed', range(6))
 def test_host_that_is_gone_for_good_is_replaced_at_another_address(seed):
     network = grown_network(seed)
-    put(network, 1)
-    gone = FIRST[seed % 5]
+    commit_document(network, 1)
+    gone = INITIAL_ADDRESSES[seed % 5]
     network.crash(gone)
     network.hosts.pop(gone)
     network.run(1)
@@ -73,11 +73,11 @@
 @pytest.mark.parametrize('seed', range(6))
 def test_two_disks_lost_right_after_a_repair(seed):
     network = grown_network(seed)
-    network.crash(FIRST[4])
-    network.hosts.pop(FIRST[4])
+    network.crash(INITIAL_ADDRESSES[4])
+    network.hosts.pop(INITIAL_ADDRESSES[4])
     network.add('10.0.0.9:1')
     network.run_until(lambda: '10.0.0.9:1' in voters(network))
-    put(network, 5, b'kept')
+    commit_document(network, 5, b'kept')
     lost = [replica.node.address for replica in network.running()][:2]
     for address in list(network.hosts):
         network.crash(address)
@@ -96,7 +96,9 @@
     network.add('10.0.0.9:1')
     network.run(2)
     assert '10.0.0.9:1' not in voters(network)
-    away = next(address for address in FIRST if network.leader().node.address != address)
+    away = next(
+        address for address in INITIAL_ADDRESSES if network.leader().node.address != address
+    )
     network.isolate(away)
     network.run_until(lambda: '10.0.0.9:1' in voters(network))
     term = network.leader().raft.term
@@ -105,7 +107,7 @@
     members = network.leader().raft.membership.members
     assert {member.address for member in members if not member.voter} == {away}
     assert network.leader().raft.term == term
-    put(network, 3, b'later')
+    commit_document(network, 3, b'later')
     network.run(2)
     assert network.hosts[away].replica.state_machine.state.number == 3
 
@@ -116,23 +118,23 @@
         network.add(address)
     network.run(2)
     network.crash('10.0.0.8:1')
-    network.crash(FIRST[4])
+    network.crash(INITIAL_ADDRESSES[4])
     network.run_until(lambda: '10.0.0.9:1' in voters(network))
 
 
 def test_highest_number_wins_and_a_lower_one_changes_nothing():
     network = grown_network()
-    assert put(network, 4, b'four').newest == 4
-    assert put(network, 3, b'three').newest == 4
-    assert put(network, 4, b'other').newest == 4
+    assert commit_document(network, 4, b'four').newest == 4
+    assert commit_document(network, 3, b'three').newest == 4
+    assert commit_document(network, 4, b'other').newest == 4
     assert document_in_force(network) == (4, b'four')
-    assert put(network, 9, b'nine').newest == 9
+    assert commit_document(network, 9, b'nine').newest == 9
 
 
 def test_document_and_retired_servers_outlive_snapshots_and_restarts():
     network = grown_network()
     for number in range(1, 60):
-        put(network, number, b'%d' % number)
+        commit_document(network, number, b'%d' % number)
     network.ask(network.leader(), Propose(command=RetireBackend(instance='i-1')))
     network.run(1)
     for address in list(network.hosts):
--- a/tests/test_control/test_control_raftlog.py
+++ b/tests/test_control/test_control_raftlog.py
@@ -1,4 +1,4 @@
-"""The log in memory counts the bytes that it holds."""
+"""Payload sizes of the in-memory log."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 )
 
 
-def take(log, step, number):
-    """Take one step; sizes are those of a naive sum afterwards."""
+def apply_step(log, step, number):
+    """Apply one operation to the log."""
     if step == 'append':
         log.append(LogEntry(log.last_index + 1, 1, EntryKind.command, bytes(number)))
     elif step == 'truncate':
@@ -32,11 +32,14 @@
 
 
 @given(steps, st.lists(st.integers(0, 50), max_size=5))
-def test_bytes_are_the_same_as_a_sum(taken, loaded):
-    entries = [LogEntry(at + 1, 1, EntryKind.command, bytes(n)) for at, n in enumerate(loaded)]
+def test_bytes_are_the_same_as_a_sum(applied_steps, loaded):
+    entries = [
+        LogEntry(offset + 1, 1, EntryKind.command, bytes(size))
+        for offset, size in enumerate(loaded)
+    ]
     log = Log(snapshot=Snapshot(), entries=entries)
-    for step, number in taken:
-        take(log, step, number)
+    for step, number in applied_steps:
+        apply_step(log, step, number)
         assert log.total_bytes == sum(len(entry.payload) for entry in log.entries)
         middle = (log.snapshot.index + log.last_index) // 2
         assert log.bytes_between(middle + 1, log.last_index) == sum(
--- a/tests/test_control/test_control_replica.py
+++ b/tests/test_control/test_control_replica.py
@@ -1,4 +1,7 @@
-"""Control under lost hosts, lost disks and cuts, on a fake network and clock."""
+"""The replicated log under lost hosts, lost disks and network partitions.
+
+Replicas run on a fake network, fake disks and a paused clock.
+"""
 
 from __future__ import annotations
 
@@ -72,7 +75,10 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_isolated_replica_returns_quietly(seed):
-    """A long cut: the leader stays, nothing stale is served, it catches up."""
+    """After a long partition the leader and term are unchanged and the replica catches up.
+
+    While isolated, it must refuse linearizable reads.
+    """
     network = Network(seed=seed)
     network.apply_many(2)
     leader = network.await_leader()
@@ -179,7 +185,7 @@
 
 @pytest.mark.parametrize('seed', range(40))
 def test_random_faults_lose_nothing_acknowledged(seed):
-    """Crashes, cuts and lost packets: revisions stay totally ordered."""
+    """Under crashes, partitions and lost packets, revisions stay totally ordered."""
     network = Network(seed=seed)
     acknowledged = network.apply_many(1)
     network.drop = 0.1
@@ -259,8 +265,11 @@
 
 
 def test_hosts_that_all_start_again_have_a_leader_soon():
-    """Gateways answer nothing until then; on the bench the election took 0.9 s
-    of each loss of power of all hosts."""
+    """Guards against slow first elections: until one ends, gateways answer nothing.
+
+    With slow ones, electing a leader took 0.9 s of the recovery from each
+    power loss of all hosts.
+    """
 
     def election_s(seed):
         network = Network(count=5, seed=seed)
--- a/tests/test_control/test_control_storage.py
+++ b/tests/test_control/test_control_storage.py
@@ -1,4 +1,4 @@
-"""What a start makes of the end of a segment."""
+"""Detection of torn writes and damage at the end of a log segment."""
 
 from __future__ import annotations
 
@@ -21,30 +21,36 @@
 )
 
 
-def framed(record):
+def frame(record):
     return storage._frame_record(msgspec.msgpack.encode(record))
 
 
 @given(st.lists(records, min_size=1, max_size=6), st.data())
 def test_record_after_damage_is_found_as_by_a_look_at_each_byte(written, data):
-    raw = bytearray(b''.join(map(framed, written)))
+    raw = bytearray(b''.join(map(frame, written)))
     raw[data.draw(st.integers(0, len(raw) - 1))] ^= 0x41
     del raw[data.draw(st.integers(1, len(raw))) :]
-    _, bad = storage._split_records(bytes(raw))
-    if bad is not None:
-        naive = any(
+    _, bad_offset = storage._split_records(bytes(raw))
+    if bad_offset is not None:
+        found_by_full_scan = any(
             storage._payload_at(bytes(raw), offset) is not None
-            for offset in range(bad + 1, len(raw))
+            for offset in range(bad_offset + 1, len(raw))
         )
-        assert storage._has_valid_record_after(bytes(raw), bad) is naive
+        assert storage._has_valid_record_after(bytes(raw), bad_offset) is found_by_full_scan
 
 
 def test_torn_document_delays_a_start_by_little(monkeypatch):
-    """Load: power is lost while a document of 0.8 MB is written. Grounds: a checksum of
-    what a length names takes up to 0.1 ms, and 200,000 of them took 20 s."""
-    torn = framed(EntryRecord(LogEntry(1, 1, EntryKind.command, b'\x00\x08\x00\x00' * 200_000)))
-    looks = []
-    look = storage._payload_at
-    monkeypatch.setattr(storage, '_payload_at', lambda *where: looks.append(1) or look(*where))
+    """Guards against a start that tries a record at every byte of a torn document.
+
+    After a power loss while a document of 0.8 MB is written, its bytes can look like
+    lengths of records. Each checksum of such a record takes up to 0.1 ms, so 200,000 of
+    them took 20 s.
+    """
+    torn = frame(EntryRecord(LogEntry(1, 1, EntryKind.command, b'\x00\x08\x00\x00' * 200_000)))
+    attempts = []
+    payload_at = storage._payload_at
+    monkeypatch.setattr(
+        storage, '_payload_at', lambda *arguments: attempts.append(1) or payload_at(*arguments)
+    )
     assert not storage._has_valid_record_after(torn[:-1000], 0)
-    assert len(looks) < 10
+    assert len(attempts) < 10
