--- a/ringseam/gateway/engines/client.py
+++ b/ringseam/gateway/engines/client.py
@@ -33,7 +33,7 @@
     from ringseam.gateway.following.health import HealthBook
     from ringseam.gateway.following.ownership import Ownership
     from ringseam.gateway.following.turns import Turns
-    from ringseam.gateway.work import Work
+    from ringseam.gateway.requestcontext import RequestContext
     from ringseam.node import Node
     from ringseam.routes import BackendService
     from ringseam.rpc import CallClient
@@ -86,7 +86,7 @@
         #: Until when owners that didn't answer are not asked, by address.
         self.avoided: dict[str, float] = {}
 
-    async def choose(self, work: Work) -> BackendReport | None:
+    async def choose(self, work: RequestContext) -> BackendReport | None:
         """Return where a request shall run, once it may go there."""
         chosen = await self._choose(self._ask(work, dry=False))
         while chosen is not None and chosen.engine is not None and chosen.wait_s:
@@ -99,27 +99,27 @@
         self._note_turn(work, chosen)
         return chosen.engine if chosen else None
 
-    async def foresee(self, work: Work) -> BackendReport | None:
+    async def foresee(self, work: RequestContext) -> BackendReport | None:
         """Return where a request would run now."""
         chosen = await self._choose(self._ask(work, dry=True))
         self._note_turn(work, chosen)
         return chosen.engine if chosen else None
 
-    def must_wait(self, work: Work) -> bool:
+    def must_wait(self, work: RequestContext) -> bool:
         """Return whether each server that a request may run on names a limit or pauses."""
         paused = self.pace.pauses.paused(self.clock.now())
         if not (paused or self.turns.limits.count):
             return False
-        serving = self.follower.serving(work.service, work.suspect.account, work.zones)
+        serving = self.follower.serving(work.service, work.suspect.account, work.allowed_zones)
         return bool(serving) and all(
             server.instance in paused or self._is_limited(server) for server in serving
         )
 
-    def began(self, work: Work) -> None:
+    def began(self, work: RequestContext) -> None:
         """Tell that the first event has come."""
         self._tell(work, over=False)
 
-    def ended(self, work: Work) -> None:
+    def ended(self, work: RequestContext) -> None:
         """Tell that the request is over."""
         self._tell(work, over=True)
 
@@ -181,21 +181,21 @@
         paused = self.pace.pauses.left_s(server.instance, self.clock.now())
         return not paused and self.follower.is_serving(server)
 
-    def _note_turn(self, work: Work, chosen: Chosen | None) -> None:
+    def _note_turn(self, work: RequestContext, chosen: Chosen | None) -> None:
         """Note after how long a request that was not placed may be."""
         if chosen is not None and chosen.engine is not None:
-            work.turn_in_s = 0
+            work.available_in_s = 0
             return
         end_s = self.pace.pauses.first_end_s(self._paused(work), self.clock.now())
         turn_s = chosen.wait_s if chosen else 0
-        work.turn_in_s = min((wait_s for wait_s in (end_s, turn_s) if wait_s), default=0)
+        work.available_in_s = min((wait_s for wait_s in (end_s, turn_s) if wait_s), default=0)
 
-    def _avoided(self, work: Work) -> tuple[str, ...]:
+    def _avoided(self, work: RequestContext) -> tuple[str, ...]:
         """Return the servers that the owner, which may not know it, shall not choose."""
         leaving = self.follower.view.leaving_servers(work.service)
         return tuple(work.tries.tried.union(self._paused(work), leaving))
 
-    def _paused(self, work: Work) -> list[BackendId]:
+    def _paused(self, work: RequestContext) -> list[BackendId]:
         """Return the servers that want nothing from this gateway now."""
         paused = self.pace.pauses.paused(self.clock.now())
         if not paused:
@@ -203,7 +203,7 @@
         serving = self.follower.view.serving(work.service)
         return [server.instance for server in serving if server.instance in paused]
 
-    def _ask(self, work: Work, *, dry: bool) -> PlaceRequest:
+    def _ask(self, work: RequestContext, *, dry: bool) -> PlaceRequest:
         now = self.clock.now()
         return PlaceRequest(
             request=work.request.attempt_id,
@@ -213,13 +213,13 @@
                 PlacedPart(name=part.name, tokens=part.tokens) for part in work.request.prefix
             ),
             priority=work.route.priority,
-            objective_ms=int((work.objective - now) * MS_PER_S),
+            objective_ms=int((work.objective_deadline - now) * MS_PER_S),
             left_ms=int((work.deadline - now) * MS_PER_S),
             result_bytes=work.input_bytes,
             avoid=self._avoided(work),
             dry=dry,
             account=work.suspect.account,
-            zones=None if work.zones is None else tuple(work.zones),
+            zones=None if work.allowed_zones is None else tuple(work.allowed_zones),
             limits=self.turns.told(
                 server.instance for server in self.follower.view.serving(work.service)
             ),
@@ -269,7 +269,7 @@
         engine = next((known for known in serving if known.instance == reply.instance), None)
         return None if engine is None else Chosen(engine=engine, wait_s=reply.wait_s)
 
-    def _tell(self, work: Work, *, over: bool) -> None:
+    def _tell(self, work: RequestContext, *, over: bool) -> None:
         self._spread(
             ProgressNote(service=work.service, request=work.request.attempt_id, over=over),
         )
--- a/ringseam/gateway/engines/placement.py
+++ b/ringseam/gateway/engines/placement.py
@@ -16,7 +16,7 @@
 from ringseam.clock import MS_PER_S
 from ringseam.gateway.engines.enginebook import EngineBook
 from ringseam.gateway.following.pacing import longest_wait_s
-from ringseam.gateway.worth import LATE_LOSS, worth_of
+from ringseam.gateway.priorities import LATE_VALUE_LOSS, response_value
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -154,7 +154,7 @@
             Placed(
                 instance=instance,
                 unread=self.unread(ask, instance),
-                worth=worth_of(ask.priority),
+                worth=response_value(ask.priority),
                 until=now + ask.left_ms / MS_PER_S + _FORGET_S,
             ),
         )
@@ -297,7 +297,7 @@
         unread = max(0, ask.prompt_tokens - cached)
         backlog = self._backlog(instance, here, now)
         disturbed = _disturbed(here, backlog + unread)
-        cost = self._lateness(ask, backlog + unread, wait_s) + LATE_LOSS * disturbed
+        cost = self._lateness(ask, backlog + unread, wait_s) + LATE_VALUE_LOSS * disturbed
         cost += (most - cached) * _AGAIN_PER_TOKEN
         crossing = sum(amount for zone, amount in ask.result_bytes.items() if zone != engine.zone)
         cost += crossing * _CROSSING_PER_BYTE
@@ -334,7 +334,7 @@
         first = wait_s + _FIRST_EVENT_S + _LONG_READ * tokens / READ_TOKENS_PER_S
         spare = ask.objective_ms / MS_PER_S - first
         late = min(1, max(0, 1 - spare / _SPREAD_S))
-        return late * LATE_LOSS * worth_of(ask.priority) + first * _PER_SECOND
+        return late * LATE_VALUE_LOSS * response_value(ask.priority) + first * _PER_SECOND
 
     def _forget(self, now: float) -> None:
         over = [request for request, placed in self.placed.items() if placed.until < now]
--- a/ringseam/gateway/following/guard.py
+++ b/ringseam/gateway/following/guard.py
@@ -32,7 +32,7 @@
     from ringseam.contents import ContentId
     from ringseam.gateway.following.follower import Follower
     from ringseam.gateway.following.health import HealthBook
-    from ringseam.gateway.work import Work
+    from ringseam.gateway.requestcontext import RequestContext
     from ringseam.node import Node
     from ringseam.rpc import CallClient
     from ringseam.web.client import ChannelPool
@@ -93,7 +93,7 @@
 
     # -- what may run -------------------------------------------------------
 
-    async def admit(self, work: Work) -> TrialState:
+    async def admit(self, work: RequestContext) -> TrialState:
         """Return whether a request may be sent to a server now."""
         content = work.content_id
         if self.is_quarantined(content):
@@ -111,7 +111,7 @@
             work.trial_at = asked_at
         return state
 
-    def conclude(self, work: Work) -> None:
+    def conclude(self, work: RequestContext) -> None:
         """Hear that a run on trial has shown itself, or is over: another one may begin."""
         if work.trial_at is not None:
             work.trial_at = None
--- a/ringseam/gateway/worth.py
+++ b/ringseam/gateway/priorities.py
@@ -5,12 +5,12 @@
 import msgspec
 
 #: Each step of priority is worth this much less.
-WORTH_RATIO = 0.25
+VALUE_RATIO = 0.25
 #: A late answer loses this share of its worth.
-LATE_LOSS = 0.85
+LATE_VALUE_LOSS = 0.85
 
 #: Ranks of the requests of one client account; priorities of routes are below.
-_RANKS = 100
+_RANKS_PER_ACCOUNT = 100
 #: Engines know ten urgencies: three of routes for each of three accounts'.
 _ROUTE_URGENCIES = 3
 _LAST_URGENCY = 9
@@ -36,21 +36,21 @@
     which is the usual case, the route's decides.
     """
     first = route if account is None else account
-    return first * _RANKS + min(route, _RANKS - 1)
+    return first * _RANKS_PER_ACCOUNT + min(route, _RANKS_PER_ACCOUNT - 1)
 
 
-def priority_of(rank: int) -> int:
+def route_priority(rank: int) -> int:
     """Return the route's priority, which tells the worth of an answer."""
-    return rank % _RANKS
+    return rank % _RANKS_PER_ACCOUNT
 
 
-def urgency_of(rank: int) -> int:
+def engine_urgency(rank: int) -> int:
     """Return a rank as engines take it, from 0, which is first, to 9."""
-    route = min(rank % _RANKS, _ROUTE_URGENCIES - 1)
-    return min(_LAST_URGENCY, rank // _RANKS * _ROUTE_URGENCIES + route)
+    route = min(rank % _RANKS_PER_ACCOUNT, _ROUTE_URGENCIES - 1)
+    return min(_LAST_URGENCY, rank // _RANKS_PER_ACCOUNT * _ROUTE_URGENCIES + route)
 
 
-def worth_of(priority: int, *, late: bool = False) -> float:
+def response_value(priority: int, *, late: bool = False) -> float:
     """Return the worth against one of the highest priority that is on time."""
-    whole = WORTH_RATIO**priority
-    return whole * (1 - LATE_LOSS) if late else whole
+    whole = VALUE_RATIO**priority
+    return whole * (1 - LATE_VALUE_LOSS) if late else whole
--- a/ringseam/gateway/work.py
+++ b/ringseam/gateway/requestcontext.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Union
 
-from ringseam.gateway.worth import Precedence, rank_of
+from ringseam.gateway.priorities import Precedence, rank_of
 from ringseam.quarantinemessages import Suspect
 from ringseam.tries import TryRecord
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(kw_only=True)
-class Work:
+class RequestContext:
     """A client's request under one version of the routes; times are absolute."""
 
     exchange: Exchange
@@ -45,30 +45,30 @@
     #: The client's time limit and the route's timeout, whichever is earlier.
     deadline: float
     #: The number of the route table that the request is served by.
-    number: int = 0
+    table_number: int = 0
     inputs: tuple[str, ...] = ()
     #: Bytes of the inputs by availability zone.
     input_bytes: dict[str, int] = field(default_factory=dict)
     tries: TryRecord = field(init=False)
     #: The rank by which it goes, where that is not its own.
-    raised_to: int | None = None
+    adjusted_rank: int | None = None
     #: How long before this try its client asked for the first time, seconds.
-    asked_before_s: float = 0
+    since_first_attempt_s: float = 0
     #: Whether it was answered within its objective.
-    in_time: bool = False
+    on_time: bool = False
     #: Availability zones in which it may run; None: all.
-    zones: frozenset[str] | None = None
+    allowed_zones: frozenset[str] | None = None
     #: Whether it was turned away for what it asks for, not for how its route is served.
     rejected_for_content: bool = False
     #: When the only run of a suspected content was granted; None: not on trial.
     trial_at: float | None = None
     #: After how long a server that names a limit or has asked for a pause may take it,
     #: seconds; 0: it has found one, or there is none.
-    turn_in_s: float = 0
+    available_in_s: float = 0
     #: How long the stages took, seconds.
-    stages_s: float = 0
+    stages_duration_s: float = 0
     #: How long stages and server were predicted to take, seconds.
-    predicted_s: float = 0
+    predicted_duration_s: float = 0
 
     def __post_init__(self) -> None:
         """Begin without a try."""
@@ -83,24 +83,24 @@
         return Suspect(content=self.content_id, account=account)
 
     @property
-    def objective(self) -> float:
+    def objective_deadline(self) -> float:
         """Return when an answer stops earning its full worth."""
-        return self.arrived - self.asked_before_s + self.route.objective_s
+        return self.arrived - self.since_first_attempt_s + self.route.objective_s
 
     @property
-    def goal(self) -> float:
+    def scheduling_deadline(self) -> float:
         """Return until when it is worth being served before others wait.
 
         A client that was turned away and comes back is served within its limit:
         to refuse it again, or to fail it, is worse than to be late.
         """
-        return self.deadline if self.asked_before_s else self.objective
+        return self.deadline if self.since_first_attempt_s else self.objective_deadline
 
     @property
     def precedence(self) -> Precedence:
         """Return what it goes by among those that wait."""
-        rank = self.rank if self.raised_to is None else self.raised_to
-        return Precedence(rank=rank, returned=self.asked_before_s > 0)
+        rank = self.rank if self.adjusted_rank is None else self.adjusted_rank
+        return Precedence(rank=rank, returned=self.since_first_attempt_s > 0)
 
     @property
     def rank(self) -> int:
@@ -123,7 +123,7 @@
     """The request was certainly not run; ``reached`` a server that said so."""
 
     detail: str
-    reached: bool = False
+    refused_by_server: bool = False
     status: int = 0
 
 
@@ -135,7 +135,7 @@
     detail: str
 
     @property
-    def is_broken(self) -> bool:
+    def is_connection_loss(self) -> bool:
         """Return whether its connection broke, as it does when a server ends."""
         return self.cause in {LossCause.connection, LossCause.broken}
 
--- a/ringseam/gateway/requests/admission.py
+++ b/ringseam/gateway/requests/admission.py
@@ -7,53 +7,56 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from ringseam.gateway.work import Work
+    from ringseam.gateway.requestcontext import RequestContext
 
 #: What the last server of a staged request needs for its first event, seconds.
-LAST_SERVER_S = 0.3
+FINAL_SERVER_S = 0.3
 #: A refused client comes back after this long at least, seconds.
-_COME_BACK_S = 0.3
+_MIN_RETRY_AFTER_S = 0.3
 #: Refused clients come back spread over this long, seconds.
-_SPREAD_S = 1.0
+_RETRY_AFTER_JITTER_S = 1.0
 #: Clients honour a pause of up to this share of the time that they have left.
-_PAUSE_SHARE = 1 / 3
+_MAX_RETRY_AFTER_SHARE = 1 / 3
 #: A client that has less than this share of the usual time has asked before.
-_FIRST_SHARE = 0.97
+_FIRST_ATTEMPT_SHARE = 0.97
 #: Clients come back once for each first try at most; where more than this share of
 #: the requests have less than the longest time, clients differ in their limits.
-_SHORTER_SHARE = 2 / 3
+_MAX_SHORTER_SHARE = 2 / 3
 #: The usual time of a route is forgotten in this time, seconds.
-_USUAL_S = 30.0
+_TYPICAL_LIMIT_TTL_S = 30.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
     """Refused: the request would be late by far; come back after a pause."""
 
-    needed_s: float
-    come_back_s: float
+    predicted_s: float
+    retry_after_s: float
 
 
 @dataclass(kw_only=True)
-class UsualTime:
+class TypicalTimeLimit:
     """The longest time limit that clients of a route named lately.
 
     ``shorter`` of the ``asked`` requests since named less.
     """
 
-    seconds: float
-    seen: float
-    asked: int = 0
-    shorter: int = 0
+    limit_s: float
+    updated_at: float
+    requests: int = 0
+    shorter_requests: int = 0
 
-    def is_over(self, left_s: float, now: float) -> bool:
+    def is_outdated(self, left_s: float, now: float) -> bool:
         """Return whether a request shows that clients now have another time."""
-        return now - self.seen > _USUAL_S or _FIRST_SHARE * left_s > self.seconds
+        return (
+            now - self.updated_at > _TYPICAL_LIMIT_TTL_S
+            or _FIRST_ATTEMPT_SHARE * left_s > self.limit_s
+        )
 
     @property
-    def tells(self) -> bool:
+    def identifies_retries(self) -> bool:
         """Return whether less time shows that a client has asked before."""
-        return self.shorter <= _SHORTER_SHARE * self.asked
+        return self.shorter_requests <= _MAX_SHORTER_SHARE * self.requests
 
 
 @dataclass(kw_only=True)
@@ -66,14 +69,14 @@
     """
 
     seed: str
-    usual: dict[str, UsualTime] = field(default_factory=dict)
+    typical: dict[str, TypicalTimeLimit] = field(default_factory=dict)
     random: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
         """Seed the spread of the pauses."""
         self.random = random.Random(self.seed)  # noqa: S311 - spreads load only
 
-    def asked_before_s(self, route: str, left_s: float | None, now: float) -> float:
+    def since_first_attempt_s(self, route: str, left_s: float | None, now: float) -> float:
         """Return how long ago a client asked first, and learn from it; 0: just now.
 
         Clients of a route usually have the same time at first, so one that has less
@@ -81,34 +84,34 @@
         """
         if left_s is None:
             return 0
-        usual = self.usual.get(route)
-        if usual is None or usual.is_over(left_s, now):
-            usual = UsualTime(seconds=left_s, seen=now)
-            self.usual[route] = usual
-        if left_s >= usual.seconds:
-            usual.seconds = left_s
-            usual.seen = now
-        usual.asked += 1
-        if left_s >= _FIRST_SHARE * usual.seconds:
+        typical = self.typical.get(route)
+        if typical is None or typical.is_outdated(left_s, now):
+            typical = TypicalTimeLimit(limit_s=left_s, updated_at=now)
+            self.typical[route] = typical
+        if left_s >= typical.limit_s:
+            typical.limit_s = left_s
+            typical.updated_at = now
+        typical.requests += 1
+        if left_s >= _FIRST_ATTEMPT_SHARE * typical.limit_s:
             return 0
-        usual.shorter += 1
-        return usual.seconds - left_s if usual.tells else 0
+        typical.shorter_requests += 1
+        return typical.limit_s - left_s if typical.identifies_retries else 0
 
-    def come_back_s(self, needed_s: float, left_s: float) -> float:
+    def retry_after_s(self, predicted_s: float, left_s: float) -> float:
         """Return when a refused client should come back, spread over a while."""
-        pause = _COME_BACK_S + needed_s + self.random.random() * _SPREAD_S
-        return max(0, min(pause, left_s * _PAUSE_SHARE))
+        pause = _MIN_RETRY_AFTER_S + predicted_s + self.random.random() * _RETRY_AFTER_JITTER_S
+        return max(0, min(pause, left_s * _MAX_RETRY_AFTER_SHARE))
 
-    def refuses(self, work: Work, needed_s: float, now: float) -> Refusal | None:
+    def check(self, context: RequestContext, predicted_s: float, now: float) -> Refusal | None:
         """Return a refusal when a request should not be begun.
 
         :param needed_s: predicted seconds until its first event.
         """
-        left = work.deadline - now
-        limit = left if work.asked_before_s else work.objective - now
-        if needed_s <= limit:
+        left = context.deadline - now
+        limit = left if context.since_first_attempt_s else context.objective_deadline - now
+        if predicted_s <= limit:
             return None
         return Refusal(
-            needed_s=needed_s,
-            come_back_s=self.come_back_s(needed_s - limit, left),
+            predicted_s=predicted_s,
+            retry_after_s=self.retry_after_s(predicted_s - limit, left),
         )
--- a/ringseam/gateway/requests/attempts.py
+++ b/ringseam/gateway/requests/attempts.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING
 
 from ringseam.events import Event
-from ringseam.gateway.requests.answers import BAD_GATEWAY, COME_BACK_S, GATEWAY_TIMEOUT
-from ringseam.gateway.requests.choice import MeasuredChoice
+from ringseam.gateway.requestcontext import Answered, LossCause, Lost, NotRun, Quarantined
+from ringseam.gateway.requests.answers import BAD_GATEWAY, DEFAULT_RETRY_AFTER_S, GATEWAY_TIMEOUT
+from ringseam.gateway.requests.balancing import LatencyPolicy
 from ringseam.gateway.requests.directtries import DirectTries
-from ringseam.gateway.requests.plainchoice import PlainChoice
-from ringseam.gateway.requests.relay import StreamEnd, StreamRelay, client_headers, is_stream
-from ringseam.gateway.work import Answered, LossCause, Lost, NotRun, Quarantined
+from ringseam.gateway.requests.relay import StreamOutcome, StreamRelay, client_headers, is_stream
+from ringseam.gateway.requests.serverselection import ServerSelector
 from ringseam.web.client import ChannelError
 
 if TYPE_CHECKING:
@@ -21,32 +21,32 @@
     from ringseam.gateway.engines.client import PlaceClient
     from ringseam.gateway.following.follower import Follower
     from ringseam.gateway.following.guard import Guard
-    from ringseam.gateway.requests.answers import Answers
+    from ringseam.gateway.requestcontext import RequestContext, TryOutcome
+    from ringseam.gateway.requests.answers import Responder
     from ringseam.gateway.requests.sending import Sender
     from ringseam.gateway.stages.graph import StageRun
-    from ringseam.gateway.work import TryOutcome, Work
     from ringseam.node import Node
     from ringseam.retries import RetryPolicy
 
 logger = logging.getLogger(__name__)
 
 #: Why a request is refused that some server would take later.
-NO_TURN = 'all servers that are left have asked for a pause or have no turn left'
+SERVERS_LIMITED = 'all servers that are left have asked for a pause or have no turn left'
 _BAD_REQUEST = 400
 _SERVER_ERROR = 500
 _MISDIRECTED = 421
 #: What an unfinished stream says of its server.
-_CAUSES = types.MappingProxyType(
+_LOSS_CAUSES = types.MappingProxyType(
     {
-        StreamEnd.deadline: LossCause.timeout,
-        StreamEnd.broken: LossCause.broken,
-        StreamEnd.silent: LossCause.gap,
-        StreamEnd.out_of_order: LossCause.gap,
+        StreamOutcome.deadline: LossCause.timeout,
+        StreamOutcome.broken: LossCause.broken,
+        StreamOutcome.silent: LossCause.gap,
+        StreamOutcome.out_of_order: LossCause.gap,
     },
 )
 
 
-class Attempts:  # noqa: WPS214 - the steps from choice to answer
+class AttemptRunner:  # noqa: WPS214 - the steps from choice to answer
     """Send requests to backend servers and pass their answers on."""
 
     def __init__(
@@ -57,7 +57,7 @@
         sender: Sender,
         placements: PlaceClient,
         retries: RetryPolicy,
-        answers: Answers,
+        responder: Responder,
         guard: Guard,
     ) -> None:
         """Send through ``sender``."""
@@ -67,133 +67,139 @@
         self.health = sender.health
         self.placements = placements
         self.retries = retries
-        self.answers = answers
+        self.responder = responder
         self.guard = guard
-        self.plain = PlainChoice(
+        self.selector = ServerSelector(
             clock=node.clock,
             follower=follower,
             turns=placements.turns,
-            choice=MeasuredChoice(health=sender.health, zone=node.zone),
+            policy=LatencyPolicy(health=sender.health, zone=node.zone),
         )
 
-    async def run(self, work: Work, stages: StageRun | None) -> None:
+    async def run(self, context: RequestContext, stages: StageRun | None) -> None:
         """Send until an answer is passed on, else give the final answer."""
-        relay = StreamRelay(work=work, clock=self.clock, last=work.request.last_event)
-        relay.on_passed = self.answers.note_passed
-        relay.on_first = lambda: self._note_first(work, stages)
-        tries = DirectTries(attempts=self, work=work, stages=stages, relay=relay)
+        relay = StreamRelay(
+            context=context, clock=self.clock, last_event=context.request.last_event
+        )
+        relay.on_forwarded = self.responder.record_event_latency
+        relay.on_first_event = lambda: self._handle_first_event(context, stages)
+        tries = DirectTries(runner=self, context=context, stages=stages, relay=relay)
         await tries.run()
         if not isinstance(tries.outcome, Answered):
-            await self._give_up(work, tries.outcome, relay)
+            await self._send_final_response(context, tries.outcome, relay)
 
-    async def choose(self, work: Work) -> BackendReport | None:
+    async def choose(self, context: RequestContext) -> BackendReport | None:
         """Return the server that is expected to answer first."""
-        if work.route.affinity:
-            return await self.placements.choose(work)
-        return await self.plain.choose(work)
+        if context.route.affinity:
+            return await self.placements.choose(context)
+        return await self.selector.choose(context)
 
     async def send_once(
         self,
-        work: Work,
+        context: RequestContext,
         server: BackendReport,
         relay: StreamRelay,
     ) -> TryOutcome:
         """Send once; an :class:`Answered` has been passed on whole."""
         standing = self.health.of(server.instance)
         standing.in_flight += 1
-        self.answers.log(
-            work,
+        self.responder.log(
+            context,
             Event.request_sent,
             backend=server.instance,
-            content=work.content_id,
-            sends=work.tries.sends,
-            last=relay.last,
+            content=context.content_id,
+            sends=context.tries.sends,
+            last=relay.last_event,
         )
-        self.guard.ends.sent(server, work.request.attempt_id, work.suspect)
+        self.guard.ends.sent(server, context.request.attempt_id, context.suspect)
         try:
-            outcome = await self._send(work, server, relay)
+            outcome = await self._send(context, server, relay)
         finally:
             standing.in_flight -= 1
-            self._note_over(work, server)
-        self._forget_replaced(server, outcome)
-        self._note_lost(work, server, outcome)
-        self._note_refused(work, server, outcome)
+            self._end_attempt(context, server)
+        self._remove_replaced(server, outcome)
+        self._log_connection_loss(context, server, outcome)
+        self._log_refusal(context, server, outcome)
         # An error may be given before anything is run.
         if isinstance(outcome, Answered) and outcome.head.status < _BAD_REQUEST:
-            self.guard.answered(server, work.content_id)
+            self.guard.answered(server, context.content_id)
         return outcome
 
     async def _send(
         self,
-        work: Work,
+        context: RequestContext,
         server: BackendReport,
         relay: StreamRelay,
     ) -> TryOutcome:
-        begun = self.clock.now()
-        last = relay.last if relay.started else None
-        outcome = await self.sender.send(work, server, last_event=last)
+        started_at = self.clock.now()
+        last = relay.last_event if relay.started else None
+        outcome = await self.sender.send(context, server, last_event=last)
         if isinstance(outcome, Answered):
-            outcome = await self._pass_on(work, server, outcome, relay, begun)
-        if isinstance(outcome, Lost) and outcome.is_broken:
+            outcome = await self._forward_response(context, server, outcome, relay, started_at)
+        if isinstance(outcome, Lost) and outcome.is_connection_loss:
             await self.guard.ends.broke(server)
         return outcome
 
-    def _note_over(self, work: Work, server: BackendReport) -> None:
+    def _end_attempt(self, context: RequestContext, server: BackendReport) -> None:
         """Hear that a request is no longer under way at a server."""
-        self.guard.ends.over(server, work.request.attempt_id)
-        if work.route.affinity:
-            self.sender.silence.ended(server.instance, work.request.attempt_id)
-            self.placements.ended(work)
+        self.guard.ends.over(server, context.request.attempt_id)
+        if context.route.affinity:
+            self.sender.silence.ended(server.instance, context.request.attempt_id)
+            self.placements.ended(context)
 
-    def _note_refused(self, work: Work, server: BackendReport, outcome: TryOutcome) -> None:
-        if isinstance(outcome, NotRun) and outcome.reached:
-            self.answers.log(
-                work,
+    def _log_refusal(
+        self, context: RequestContext, server: BackendReport, outcome: TryOutcome
+    ) -> None:
+        if isinstance(outcome, NotRun) and outcome.refused_by_server:
+            self.responder.log(
+                context,
                 Event.request_turned_away,
                 backend=server.instance,
                 status=outcome.status,
             )
 
-    def _forget_replaced(self, server: BackendReport, outcome: TryOutcome) -> None:
+    def _remove_replaced(self, server: BackendReport, outcome: TryOutcome) -> None:
         """Forget a server whose address another one has: a late report named it."""
         if isinstance(outcome, NotRun) and outcome.status == _MISDIRECTED:
             self.follower.view.remove(server.instance)
 
-    def _note_lost(self, work: Work, server: BackendReport, outcome: TryOutcome) -> None:
+    def _log_connection_loss(
+        self, context: RequestContext, server: BackendReport, outcome: TryOutcome
+    ) -> None:
         if isinstance(outcome, Lost) and outcome.cause is LossCause.connection:
-            self.answers.log(
-                work,
+            self.responder.log(
+                context,
                 Event.request_lost,
                 backend=server.instance,
-                content=work.content_id,
+                content=context.content_id,
                 detail=outcome.detail,
             )
 
-    def _note_first(self, work: Work, stages: StageRun | None) -> None:
+    def _handle_first_event(self, context: RequestContext, stages: StageRun | None) -> None:
         """Hear that the first event has come: the server has its inputs.
 
         A content that ends servers does so as it begins; another suspect may be tried.
         """
         if stages is not None:
             stages.release()
-        self.guard.conclude(work)
-        if work.route.affinity:
-            self.placements.began(work)
+        self.guard.conclude(context)
+        if context.route.affinity:
+            self.placements.began(context)
 
-    async def _pass_on(
+    async def _forward_response(
         self,
-        work: Work,
+        context: RequestContext,
         server: BackendReport,
         answered: Answered,
         relay: StreamRelay,
-        begun: float,
+        started_at: float,
     ) -> TryOutcome:
         outcome: TryOutcome | None = None
         try:
             if is_stream(answered.head) and answered.head.status < _BAD_REQUEST:
-                outcome = await self._pass_stream(work, server, answered, relay)
+                outcome = await self._forward_stream(context, server, answered, relay)
             else:
-                outcome = await self._pass_whole(work, server, answered, relay, begun)
+                outcome = await self._forward_body(context, server, answered, relay, started_at)
         finally:
             if isinstance(outcome, Answered):
                 self.sender.pool.release(answered.channel)
@@ -201,101 +207,103 @@
                 answered.channel.close()
         return outcome
 
-    async def _pass_whole(
+    async def _forward_body(
         self,
-        work: Work,
+        context: RequestContext,
         server: BackendReport,
         answered: Answered,
         relay: StreamRelay,
-        begun: float,
+        started_at: float,
     ) -> TryOutcome:
         try:
-            async with asyncio.timeout(max(0, work.deadline - self.clock.now())):
+            async with asyncio.timeout(max(0, context.deadline - self.clock.now())):
                 body = await answered.channel.whole_body()
         except ChannelError as error:
-            self._count_failure(work, server)
+            self._record_server_failure(context, server)
             return Lost(cause=LossCause.broken, detail=f'{server.address}: {error}')
         except asyncio.TimeoutError as error:
-            self._count_failure(work, server)
+            self._record_server_failure(context, server)
             return Lost(cause=LossCause.not_whole, detail=f'{server.address}: {error}')
         status = answered.head.status
         if status >= _SERVER_ERROR:
-            self._count_failure(work, server)
+            self._record_server_failure(context, server)
         else:
             now = self.clock.now()
             self.health.succeeded(server.instance, now)
-            self.health.took(server.instance, now - begun)
-        if relay.started or (status >= _SERVER_ERROR and self._has_another_chance(work)):
+            self.health.took(server.instance, now - started_at)
+        if relay.started or (status >= _SERVER_ERROR and self._can_retry_elsewhere(context)):
             return Lost(cause=LossCause.not_whole, detail=f'{server.address}: status {status}')
-        await work.exchange.respond(status, client_headers(answered.head), body)
-        self.answers.note(work, status, self.clock.now())
+        await context.exchange.respond(status, client_headers(answered.head), body)
+        self.responder.log_response(context, status, self.clock.now())
         return answered
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
-        work: Work,
+        context: RequestContext,
         server: BackendReport,
         answered: Answered,
         relay: StreamRelay,
     ) -> TryOutcome:
         relay.on_chunk = lambda: self.sender.silence.heard(
             server.instance,
-            work.request.attempt_id,
+            context.request.attempt_id,
             self.clock.now(),
             event=True,
         )
-        end = await relay.pass_on(answered)
-        if end is StreamEnd.whole:
+        end = await relay.forward(answered)
+        if end is StreamOutcome.complete:
             self.health.succeeded(server.instance, self.clock.now())
-            await work.exchange.finish()
-            self.answers.note(work, answered.head.status, relay.first_at, relay.longest_gap)
+            await context.exchange.finish()
+            self.responder.log_response(
+                context, answered.head.status, relay.first_event_at, relay.longest_gap
+            )
             return answered
-        self._count_failure(work, server)
-        self.answers.log(
-            work,
+        self._record_server_failure(context, server)
+        self.responder.log(
+            context,
             Event.stream_broken,
             backend=server.instance,
             end=end.value,
-            last=relay.last,
+            last=relay.last_event,
         )
-        cause = _CAUSES[end]
+        cause = _LOSS_CAUSES[end]
         return Lost(cause=cause, detail=f'{server.address}: stream {end.value}')
 
-    def _has_another_chance(self, work: Work) -> bool:
+    def _can_retry_elsewhere(self, context: RequestContext) -> bool:
         """Return whether a failed request may be sent to another server."""
-        if not work.tries.may_repeat:
+        if not context.tries.may_repeat:
             return False
-        return self.plain.has_another(work)
+        return self.selector.has_alternative(context)
 
-    def _count_failure(self, work: Work, server: BackendReport) -> None:
+    def _record_server_failure(self, context: RequestContext, server: BackendReport) -> None:
         if self.health.failed(server.instance, self.clock.now()):
-            self.answers.log(work, Event.server_ejected, backend=server.instance)
+            self.responder.log(context, Event.server_ejected, backend=server.instance)
 
-    async def _give_up(
+    async def _send_final_response(
         self,
-        work: Work,
+        context: RequestContext,
         outcome: TryOutcome | None,
         relay: StreamRelay,
     ) -> None:
         """Give the final answer at once."""
         detail = '' if outcome is None or isinstance(outcome, Answered) else outcome.detail
         if relay.started:
-            self.answers.break_off(work, detail)
-        elif isinstance(outcome, Quarantined) and not work.tries.lost:
-            await self.answers.reject_content(work)
-        elif work.tries.lost:
-            late = self.clock.now() >= work.deadline
-            await self.answers.fail(work, GATEWAY_TIMEOUT if late else BAD_GATEWAY, detail)
+            self.responder.abort(context, detail)
+        elif isinstance(outcome, Quarantined) and not context.tries.lost:
+            await self.responder.reject_content(context)
+        elif context.tries.lost:
+            late = self.clock.now() >= context.deadline
+            await self.responder.fail(context, GATEWAY_TIMEOUT if late else BAD_GATEWAY, detail)
         else:
-            await self._refuse(work, detail)
+            await self._refuse(context, detail)
 
-    async def _refuse(self, work: Work, detail: str) -> None:
+    async def _refuse(self, context: RequestContext, detail: str) -> None:
         """Say that nothing has run, and when a server may take it."""
-        left_s = max(0, work.deadline - self.clock.now())
-        await self.answers.refuse(
-            work.exchange,
-            work.request,
-            NO_TURN if work.turn_in_s else detail,
-            come_back_s=max(COME_BACK_S, min(work.turn_in_s, left_s)),
-            route=work.route.name,
+        left_s = max(0, context.deadline - self.clock.now())
+        await self.responder.refuse(
+            context.exchange,
+            context.request,
+            SERVERS_LIMITED if context.available_in_s else detail,
+            retry_after_s=max(DEFAULT_RETRY_AFTER_S, min(context.available_in_s, left_s)),
+            route=context.route.name,
         )
--- a/ringseam/gateway/requests/choice.py
+++ b/ringseam/gateway/requests/balancing.py
@@ -15,18 +15,18 @@
 _NO_WAITS: Mapping[BackendId, float] = types.MappingProxyType({})
 #: A request in another availability zone costs this, seconds: the way there
 #: and back, and the price of its bytes.
-_OTHER_ZONE_S = 0.004
+_CROSS_ZONE_COST_S = 0.004
 #: A request takes this long where nothing was measured, seconds.
-_UNMEASURED_S = 0.02
+_DEFAULT_LATENCY_S = 0.02
 #: What a server has told of its load is believed for this long, seconds.
-_TOLD_S = 2.0
+_REPORTED_LOAD_TTL_S = 2.0
 #: What an ejected server costs, seconds: it is taken only when all are.
-_EJECTED_S = 1000.0
+_EJECTED_COST_S = 1000.0
 #: Between servers of equal cost the less loaded one is taken, seconds.
-_PER_REQUEST_S = 1e-4
+_COST_PER_REQUEST_S = 1e-4
 
 
-class Choice(abc.ABC):
+class BalancingPolicy(abc.ABC):
     """Choose one of the servers that may serve a request."""
 
     def __init__(self, *, health: HealthBook, zone: str) -> None:
@@ -47,33 +47,35 @@
         if not servers:
             return None
 
-        def judged(server: BackendReport) -> tuple[float, str]:  # noqa: WPS430
+        def sort_key(server: BackendReport) -> tuple[float, str]:  # noqa: WPS430
             return (self.cost(server, now) + waits.get(server.instance, 0), server.instance)
 
-        return min(servers, key=judged)
+        return min(servers, key=sort_key)
 
     @abc.abstractmethod
     def cost(self, server: BackendReport, now: float) -> float:
         """Return the expected seconds until an answer."""
 
 
-class MeasuredChoice(Choice):
+class LatencyPolicy(BalancingPolicy):
     """For services whose requests are short and alike: measured latency."""
 
     def cost(self, server: BackendReport, now: float) -> float:
         """Return the measured latency, stretched by the load."""
         standing = self.health.of(server.instance)
-        load = max(standing.in_flight, _told(standing, now))
-        crowd = max(0, load + 1 - server.slots / 2) / server.slots
-        cost = (standing.latency_s or _UNMEASURED_S) * (1 + crowd) + load * _PER_REQUEST_S
+        load = max(standing.in_flight, _reported_load(standing, now))
+        overload = max(0, load + 1 - server.slots / 2) / server.slots
+        cost = (standing.latency_s or _DEFAULT_LATENCY_S) * (
+            1 + overload
+        ) + load * _COST_PER_REQUEST_S
         if server.zone != self.zone:
-            cost += _OTHER_ZONE_S
+            cost += _CROSS_ZONE_COST_S
         if now < standing.ejected_until:
-            cost += _EJECTED_S
+            cost += _EJECTED_COST_S
         return cost
 
 
-class FirstChoice(Choice):
+class LocalZonePolicy(BalancingPolicy):
     """The naive choice, for comparison: the first server of the own zone."""
 
     def cost(self, server: BackendReport, now: float) -> float:
@@ -81,7 +83,7 @@
         return float(server.zone != self.zone)
 
 
-def _told(standing: Standing, now: float) -> float:
-    if now - standing.told_at > _TOLD_S:
+def _reported_load(standing: Standing, now: float) -> float:
+    if now - standing.told_at > _REPORTED_LOAD_TTL_S:
         return 0
     return standing.told_running + standing.told_waiting
--- a/ringseam/gateway/requests/directtries.py
+++ b/ringseam/gateway/requests/directtries.py
@@ -5,18 +5,18 @@
 import asyncio
 from typing import TYPE_CHECKING
 
+from ringseam.gateway.requestcontext import Answered, NotRun, Quarantined
 from ringseam.gateway.stages.scheduler import INPUT_FETCH_S
-from ringseam.gateway.work import Answered, NotRun, Quarantined
 from ringseam.quarantine import TrialState
 from ringseam.retries import Retry
 from ringseam.tries import TryLoop, TryResult
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendReport
-    from ringseam.gateway.requests.attempts import Attempts
+    from ringseam.gateway.requestcontext import RequestContext, TryOutcome
     from ringseam.gateway.requests.relay import StreamRelay
+    from ringseam.gateway.requests.runner import AttemptRunner
     from ringseam.gateway.stages.graph import StageRun
-    from ringseam.gateway.work import TryOutcome, Work
 
 
 class DirectTries(TryLoop['BackendReport']):
@@ -25,15 +25,15 @@
     def __init__(
         self,
         *,
-        attempts: Attempts,
-        work: Work,
+        runner: AttemptRunner,
+        context: RequestContext,
         stages: StageRun | None,
         relay: StreamRelay,
     ) -> None:
         """Send by ``attempts``; answers are passed on through ``relay``."""
-        super().__init__(record=work.tries)
-        self.attempts = attempts
-        self.work = work
+        super().__init__(record=context.tries)
+        self.runner = runner
+        self.context = context
         self.stages = stages
         self.relay = relay
         #: How the last try went; None when no stages could be had for one.
@@ -48,8 +48,8 @@
             return None
         if not await self._is_admitted():
             return None
-        server = await self.attempts.choose(self.work)
-        if self.work.deadline <= self.attempts.clock.now():
+        server = await self.runner.choose(self.context)
+        if self.context.deadline <= self.runner.clock.now():
             return None
         return server
 
@@ -63,17 +63,17 @@
         if isinstance(self.outcome, Answered):
             return TryResult.final
         if isinstance(self.outcome, NotRun):
-            return TryResult.refused if self.outcome.reached else TryResult.unsent
+            return TryResult.refused if self.outcome.refused_by_server else TryResult.unsent
         return TryResult.lost
 
     def take_retry(self) -> bool:
         """Take a retry from the budget of the service."""
-        retry = Retry(service=self.work.service, now=self.attempts.clock.now())
-        return self.attempts.retries.may_retry(retry)
+        retry = Retry(service=self.context.service, now=self.runner.clock.now())
+        return self.runner.retries.may_retry(retry)
 
     async def _is_admitted(self) -> bool:
         """Return whether the content may be sent: a verdict may have fallen by now."""
-        state = await self.attempts.guard.admit(self.work)
+        state = await self.runner.guard.admit(self.context)
         if state is TrialState.quarantined:
             self.outcome = Quarantined()
         elif state is TrialState.busy:
@@ -87,13 +87,13 @@
 
     async def _send_with_inputs(self, server: BackendReport) -> TryOutcome:
         if self.stages is None:
-            return await self.attempts.send_once(self.work, server, self.relay)
-        self.work.inputs = self.stages.inputs()
+            return await self.runner.send_once(self.context, server, self.relay)
+        self.context.inputs = self.stages.inputs()
         # By then the server has fetched what the stages have made. Where room is
         # not scarce it stays until the first event, in case the server is lost.
         loop = asyncio.get_running_loop()
-        fetched = loop.call_later(INPUT_FETCH_S, self.stages.release_contended)
+        release_timer = loop.call_later(INPUT_FETCH_S, self.stages.release_contended)
         try:
-            return await self.attempts.send_once(self.work, server, self.relay)
+            return await self.runner.send_once(self.context, server, self.relay)
         finally:
-            fetched.cancel()
+            release_timer.cancel()
--- a/ringseam/gateway/requests/fairness.py
+++ b/ringseam/gateway/requests/fairness.py
@@ -7,27 +7,27 @@
 
 #: What ended longer ago than this counts for a third, seconds: long enough for a
 #: few dozen requests, short enough to act within a burst.
-_FORGET_S = 10.0
+_DECAY_TIME_S = 10.0
 #: A route of which less than this is left to count is forgotten.
-_FORGOTTEN = 0.01
+_MIN_COUNT = 0.01
 
 
 @dataclass(kw_only=True)
-class RouteShare:
+class RouteStats:
     """How many requests of a route ended lately, and how many of them in time."""
 
     service: str
     rank: int
-    ended: float = 0
-    in_time: float = 0
-    at: float = 0
+    completed: float = 0
+    on_time: float = 0
+    updated_at: float = 0
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let what is older weigh less."""
-        factor = math.exp(-(now - self.at) / _FORGET_S)
-        self.ended *= factor
-        self.in_time *= factor
-        self.at = now
+        factor = math.exp(-(now - self.updated_at) / _DECAY_TIME_S)
+        self.completed *= factor
+        self.on_time *= factor
+        self.updated_at = now
 
 
 @dataclass(kw_only=True)
@@ -40,38 +40,40 @@
     before it, until it has caught up.
     """
 
-    least: float
+    min_ratio: float
     #: Shares by route, of those that were asked for lately.
-    shares: dict[str, RouteShare] = field(default_factory=dict)
+    routes: dict[str, RouteStats] = field(default_factory=dict)
 
-    def note(self, route: str, service: str, rank: int, now: float, *, in_time: bool) -> None:
+    def record(self, route: str, service: str, rank: int, now: float, *, on_time: bool) -> None:
         """Hear how a request ended."""
-        own = self.shares.setdefault(route, RouteShare(service=service, rank=rank, at=now))
-        own.fade(now)
-        own.service = service
-        own.rank = rank
-        own.ended += 1
-        own.in_time += in_time
+        stats = self.routes.setdefault(
+            route, RouteStats(service=service, rank=rank, updated_at=now)
+        )
+        stats.decay(now)
+        stats.service = service
+        stats.rank = rank
+        stats.completed += 1
+        stats.on_time += on_time
 
-    def rank(self, route: str, service: str, rank: int, now: float) -> int:
+    def effective_rank(self, route: str, service: str, rank: int, now: float) -> int:
         """Return the rank by which the next request of a route shall go."""
-        own = self.shares.get(route)
-        before = self._before(service, rank, now)
-        if own is None or not before:
+        stats = self.routes.get(route)
+        higher = self._ranked_before(service, rank, now)
+        if stats is None or not higher:
             return rank
-        own.fade(now)
-        share = sum(other.in_time for other in before) / sum(other.ended for other in before)
-        if own.in_time >= self.least * share * own.ended:
+        stats.decay(now)
+        ratio = sum(other.on_time for other in higher) / sum(other.completed for other in higher)
+        if stats.on_time >= self.min_ratio * ratio * stats.completed:
             return rank
-        return max(other.rank for other in before)
+        return max(other.rank for other in higher)
 
-    def _before(self, service: str, rank: int, now: float) -> list[RouteShare]:
+    def _ranked_before(self, service: str, rank: int, now: float) -> list[RouteStats]:
         """Return the routes of a service that go before ``rank`` and were asked lately."""
-        before = []
-        for route, share in list(self.shares.items()):
-            share.fade(now)
-            if share.ended < _FORGOTTEN:
-                self.shares.pop(route)
-            elif share.service == service and share.rank < rank:
-                before.append(share)
-        return before
+        higher = []
+        for route, ratio in list(self.routes.items()):
+            ratio.decay(now)
+            if ratio.completed < _MIN_COUNT:
+                self.routes.pop(route)
+            elif ratio.service == service and ratio.rank < rank:
+                higher.append(ratio)
+        return higher
--- a/ringseam/gateway/requests/relay.py
+++ b/ringseam/gateway/requests/relay.py
@@ -16,7 +16,7 @@
     from collections.abc import Callable
 
     from ringseam.clock import Clock
-    from ringseam.gateway.work import Answered, Work
+    from ringseam.gateway.requestcontext import Answered, RequestContext
     from ringseam.web.bodies import Headers
     from ringseam.web.client import Channel, ResponseHead
 
@@ -24,14 +24,14 @@
 
 #: A stream whose server is silent for this long is given up, seconds: clients
 #: leave after two seconds or more.
-STREAM_GAP_S = 1.8
+STREAM_IDLE_TIMEOUT_S = 1.8
 _STREAM_TYPE = 'text/event-stream'
 
 
-class StreamEnd(enum.Enum):
+class StreamOutcome(enum.Enum):
     """How the events of one server ended."""
 
-    whole = 'whole'
+    complete = 'whole'
     broken = 'broken'
     silent = 'silent'
     out_of_order = 'out-of-order'
@@ -56,80 +56,80 @@
 class StreamRelay:
     """Pass events on in order; one per client request, over all servers."""
 
-    work: Work
+    context: RequestContext
     clock: Clock
     #: Number of the last event that was passed on; the client's own first.
-    last: int | None
+    last_event: int | None
     started: bool = False
     events: int = 0
-    first_at: float = 0
-    last_at: float = 0
+    first_event_at: float = 0
+    last_event_at: float = 0
     #: The longest pause between two events, seconds.
     longest_gap: float = 0
     rest: bytes = b''
     splitter: EventSplitter = field(default_factory=EventSplitter)
     #: Called once, when the first event shows that a server has all it needs.
-    on_first: Callable[[], None] = lambda: None
+    on_first_event: Callable[[], None] = lambda: None
     #: Called for all bytes of a stream.
     on_chunk: Callable[[], None] = lambda: None
     #: Told how long events took from their arrival to the client's connection.
-    on_passed: Callable[[float], None] = lambda passed_s: None
+    on_forwarded: Callable[[float], None] = lambda latency_s: None
 
-    async def pass_on(self, answered: Answered) -> StreamEnd:
+    async def forward(self, answered: Answered) -> StreamOutcome:
         """Pass one server's events on until they end."""
         self.splitter = EventSplitter()
         if not self.started:
             self.started = True
-            self.work.exchange.start(answered.head.status, client_headers(answered.head))
+            self.context.exchange.start(answered.head.status, client_headers(answered.head))
         try:
-            return await self._pass_all(answered.channel)
+            return await self._forward_events(answered.channel)
         except asyncio.TimeoutError:
-            late = self.clock.now() >= self.work.deadline
-            return StreamEnd.deadline if late else StreamEnd.silent
+            late = self.clock.now() >= self.context.deadline
+            return StreamOutcome.deadline if late else StreamOutcome.silent
         except ChannelError as error:
             logger.debug('stream broke: %s', error)
-            return StreamEnd.broken
+            return StreamOutcome.broken
 
-    async def _pass_all(self, channel: Channel) -> StreamEnd:
+    async def _forward_events(self, channel: Channel) -> StreamOutcome:
         while True:  # noqa: WPS457 - ends with the stream
-            left = max(0, self.work.deadline - self.clock.now())
-            async with asyncio.timeout(min(left, STREAM_GAP_S)):
+            left = max(0, self.context.deadline - self.clock.now())
+            async with asyncio.timeout(min(left, STREAM_IDLE_TIMEOUT_S)):
                 chunk = await channel.chunk()
             self.on_chunk()
             if chunk is None:
-                return StreamEnd.broken if self.splitter.rest else StreamEnd.whole
-            whole = await self._take(chunk)
-            self.on_passed(asyncio.get_running_loop().time() - channel.heard_at)
-            if not whole:
-                return StreamEnd.out_of_order
-
-    def _note_time(self, now: float) -> None:
-        if self.first_at:
-            self.longest_gap = max(self.longest_gap, now - self.last_at)
+                return StreamOutcome.broken if self.splitter.rest else StreamOutcome.complete
+            complete = await self._forward_chunk(chunk)
+            self.on_forwarded(asyncio.get_running_loop().time() - channel.heard_at)
+            if not complete:
+                return StreamOutcome.out_of_order
+
+    def _record_event_time(self, now: float) -> None:
+        if self.first_event_at:
+            self.longest_gap = max(self.longest_gap, now - self.last_event_at)
         else:
-            self.first_at = now
-            self.on_first()
-        self.last_at = now
+            self.first_event_at = now
+            self.on_first_event()
+        self.last_event_at = now
 
-    async def _take(self, chunk: bytes) -> bool:
+    async def _forward_chunk(self, chunk: bytes) -> bool:
         """Pass on the whole events of ``chunk``; False when one is missing."""
-        passed = []
+        forwarded = []
         in_order = True
         for event in self.splitter.feed(chunk):
             in_order = self._is_next(event.number)
             if not in_order:
                 break
-            if event.number is None or event.number != self.last:
-                passed.append(event.raw)
-                self.last = self.last if event.number is None else event.number
-        if passed:
-            self.events += len(passed)
-            self._note_time(self.clock.now())
-            await self.work.exchange.send(b''.join(passed))
+            if event.number is None or event.number != self.last_event:
+                forwarded.append(event.raw)
+                self.last_event = self.last_event if event.number is None else event.number
+        if forwarded:
+            self.events += len(forwarded)
+            self._record_event_time(self.clock.now())
+            await self.context.exchange.send(b''.join(forwarded))
         return in_order
 
     def _is_next(self, number: int | None) -> bool:
         """Return whether an event is the next one, or the last once more."""
-        if number is None or self.last is None:
+        if number is None or self.last_event is None:
             return True
-        return self.last <= number <= self.last + 1
+        return self.last_event <= number <= self.last_event + 1
--- a/ringseam/gateway/requests/sending.py
+++ b/ringseam/gateway/requests/sending.py
@@ -8,8 +8,8 @@
 
 from ringseam.calls import CallHeaders
 from ringseam.gateway.engines.silence import OpenAnswer
-from ringseam.gateway.work import Answered, LossCause, Lost, NotRun
-from ringseam.gateway.worth import urgency_of
+from ringseam.gateway.priorities import engine_urgency
+from ringseam.gateway.requestcontext import Answered, LossCause, Lost, NotRun
 from ringseam.platform.requests import decode_marks, encode_call
 from ringseam.web.bodies import end_to_end
 from ringseam.web.client import ChannelError
@@ -20,16 +20,16 @@
     from ringseam.gateway.engines.silence import SilenceBook
     from ringseam.gateway.following.health import HealthBook
     from ringseam.gateway.following.serverwords import ServerWords
-    from ringseam.gateway.work import TryOutcome, Work
+    from ringseam.gateway.requestcontext import RequestContext, TryOutcome
     from ringseam.web.client import Channel, ChannelPool, ResponseHead
 
 logger = logging.getLogger(__name__)
 
 #: A new connection that isn't made after this long won't be, seconds; the way
 #: there and back is milliseconds, a full queue of connections takes a second.
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 #: Answers for other requests that are skipped on one connection.
-_STRAY_ANSWERS = 2
+_MAX_STRAY_RESPONSES = 2
 
 
 class Sender:
@@ -53,7 +53,7 @@
 
     async def send(
         self,
-        work: Work,
+        context: RequestContext,
         server: BackendReport,
         *,
         last_event: int | None = None,
@@ -63,46 +63,48 @@
         The connection of an :class:`Answered` belongs to the caller; in all
         other cases it is closed or kept here.
         """
-        left = work.deadline - self.clock.now()
+        left = context.deadline - self.clock.now()
         if left <= 0:
             return NotRun(detail='no time left')
         try:
-            channel = await self.pool.acquire(server.address, timeout_s=min(CONNECT_S, left))
+            channel = await self.pool.acquire(
+                server.address, timeout_s=min(CONNECT_TIMEOUT_S, left)
+            )
         except ChannelError as error:
             self.health.failed(server.instance, self.clock.now(), hard=True)
             return NotRun(detail=str(error))
         outcome: TryOutcome | None = None
         try:
-            outcome = await self._exchange(channel, work, server, last_event)
+            outcome = await self._send_and_receive(channel, context, server, last_event)
         finally:
             if not isinstance(outcome, Answered):
-                self._give_back(channel, outcome)
+                self._release_channel(channel, outcome)
         return outcome
 
-    async def _exchange(
+    async def _send_and_receive(
         self,
         channel: Channel,
-        work: Work,
+        context: RequestContext,
         server: BackendReport,
         last_event: int | None,
     ) -> TryOutcome:
-        request = work.exchange.request
+        request = context.exchange.request
         headers = encode_call(
             end_to_end(request.headers),
             CallHeaders(
                 instance=server.instance,
-                time_left_s=work.deadline - self.clock.now(),
-                account=work.account.name if work.account else '',
-                urgency=urgency_of(work.precedence.rank) if work.route.affinity else None,
-                inputs=work.inputs,
+                time_left_s=context.deadline - self.clock.now(),
+                account=context.account.name if context.account else '',
+                urgency=engine_urgency(context.precedence.rank) if context.route.affinity else None,
+                inputs=context.inputs,
                 last_event=last_event,
             ),
         )
         try:
-            async with asyncio.timeout(max(0, work.deadline - self.clock.now())):
+            async with asyncio.timeout(max(0, context.deadline - self.clock.now())):
                 await channel.send(request.method, request.target, headers, request.body)
-                self._note_sent(channel, work, server)
-                return await self._answer(channel, work, server)
+                self._track_open_response(channel, context, server)
+                return await self._read_response(channel, context, server)
         except asyncio.TimeoutError:
             return Lost(cause=LossCause.timeout, detail=f'{server.address}: no answer in time')
         except ChannelError as error:
@@ -111,20 +113,24 @@
                 return NotRun(detail=str(error))
             return Lost(cause=LossCause.connection, detail=str(error))
 
-    def _note_sent(self, channel: Channel, work: Work, server: BackendReport) -> None:
-        if work.route.affinity:
+    def _track_open_response(
+        self, channel: Channel, context: RequestContext, server: BackendReport
+    ) -> None:
+        if context.route.affinity:
             answer = OpenAnswer(
                 channel=channel,
                 sent_at=self.clock.now(),
-                may_repeat=work.tries.may_repeat,
+                may_repeat=context.tries.may_repeat,
             )
-            self.silence.sent(server.instance, work.request.attempt_id, answer)
+            self.silence.sent(server.instance, context.request.attempt_id, answer)
 
-    async def _answer(self, channel: Channel, work: Work, server: BackendReport) -> TryOutcome:
-        for _ in range(_STRAY_ANSWERS + 1):
+    async def _read_response(
+        self, channel: Channel, context: RequestContext, server: BackendReport
+    ) -> TryOutcome:
+        for _ in range(_MAX_STRAY_RESPONSES + 1):
             head = await channel.head()
             marks = decode_marks(head)
-            if marks.attempt_id in {'', work.request.attempt_id}:
+            if marks.attempt_id in {'', context.request.attempt_id}:
                 break
             # An answer to an earlier request on this connection: not ours.
             await channel.whole_body()
@@ -132,15 +138,15 @@
         self.silence.heard(server.instance, marks.attempt_id, self.clock.now(), event=False)
         self.words.heard(server.instance, marks)
         if marks.load is not None:
-            self._note_load(server, marks.load.running, marks.load.waiting)
+            self._record_load(server, marks.load.running, marks.load.waiting)
         if marks.not_run:
-            await self._finish(channel)
+            await self._discard_body(channel)
             return NotRun(
                 detail=f'{server.address}: refused with {head.status}',
-                reached=True,
+                refused_by_server=True,
                 status=head.status,
             )
-        if marks.attempt_id != work.request.attempt_id or marks.encoded:
+        if marks.attempt_id != context.request.attempt_id or marks.encoded:
             channel.close()
             return Lost(cause=LossCause.not_authentic, detail=f'{server.address}: foreign answer')
         if _is_success(head) and not marks.authentic:
@@ -148,20 +154,20 @@
             return Lost(cause=LossCause.not_authentic, detail=f'{server.address}: no seal')
         return Answered(head=head, marks=marks, channel=channel)
 
-    async def _finish(self, channel: Channel) -> None:
+    async def _discard_body(self, channel: Channel) -> None:
         try:
             await channel.whole_body()
         except ChannelError as error:
             logger.debug('refusal broke off: %s', error)
             channel.close()
 
-    def _give_back(self, channel: Channel, outcome: TryOutcome | None) -> None:
+    def _release_channel(self, channel: Channel, outcome: TryOutcome | None) -> None:
         if isinstance(outcome, NotRun):
             self.pool.release(channel)
         else:
             channel.close()
 
-    def _note_load(self, server: BackendReport, running: int, waiting: int) -> None:
+    def _record_load(self, server: BackendReport, running: int, waiting: int) -> None:
         standing = self.health.of(server.instance)
         standing.told_running = running
         standing.told_waiting = waiting
--- a/ringseam/gateway/role.py
+++ b/ringseam/gateway/role.py
@@ -20,8 +20,8 @@
 from ringseam.gateway.following.pacing import Pace
 from ringseam.gateway.following.serverwords import ServerWords
 from ringseam.gateway.following.turns import Turns
-from ringseam.gateway.requests.answers import Answers
-from ringseam.gateway.requests.attempts import Attempts
+from ringseam.gateway.requests.answers import Responder
+from ringseam.gateway.requests.attempts import AttemptRunner
 from ringseam.gateway.requests.forwarding import Forwarder
 from ringseam.gateway.requests.sending import Sender
 from ringseam.gateway.stages.calls import PieceCalls
@@ -45,17 +45,17 @@
 _OK = 200
 _NOT_FOUND = 404
 _UNAVAILABLE = 503
-_SWEEP_S = 0.5
+_CLEANUP_INTERVAL_S = 0.5
 #: How often engines are looked at for silence, seconds.
-_LISTEN_S = 0.1
+_MONITOR_INTERVAL_S = 0.1
 #: From the signal to stop until the balancer has seen two missed answers and
 #: its last new connections have come, seconds.
-_LEAVE_S = 2.6
+_DEREGISTRATION_DELAY_S = 2.6
 #: What is left of the grace period when all that runs is broken off, seconds.
-_RESERVE_S = 0.6
+_ABORT_RESERVE_S = 0.6
 #: Before that, what is still in stages is refused, seconds: its client has the time to
 #: ask elsewhere, and a refusal that leaves now is not cut.
-_HAND_BACK_S = 1.0
+_STAGE_ABORT_LEAD_S = 1.0
 _DRAIN_POLL_S = 0.02
 
 
@@ -83,7 +83,7 @@
             node=self.node,
             client=self.client,
             addresses=cluster_addresses(own['seeds'], own['cluster_ports']),
-            on_change=self._changed,
+            on_change=self._apply_changes,
         )
         self.words = ServerWords(
             node=self.node,
@@ -121,7 +121,7 @@
             ownership=self.ownership,
             turns=self.turns,
         )
-        self.works = PieceScheduler(
+        self.piece_scheduler = PieceScheduler(
             node=self.node,
             follower=self.follower,
             calls=PieceCalls(pool=self.pool, clock=self.node.clock, words=self.words),
@@ -133,16 +133,16 @@
         self.pieces = PieceClient(
             clock=self.node.clock,
             client=self.client,
-            scheduler=self.works,
+            scheduler=self.piece_scheduler,
             ownership=self.ownership,
         )
-        self.works.release_inputs = self.pieces.release
-        answers = Answers(node=self.node, metrics=self.metrics)
+        self.piece_scheduler.release_inputs = self.pieces.release
+        responder = Responder(node=self.node, metrics=self.metrics)
         self.forwarder = Forwarder(
             node=self.node,
             follower=self.follower,
             pieces=self.pieces,
-            attempts=Attempts(
+            attempts=AttemptRunner(
                 node=self.node,
                 follower=self.follower,
                 sender=Sender(
@@ -154,28 +154,28 @@
                 ),
                 placements=self.placements,
                 retries=self.retries,
-                answers=answers,
+                responder=responder,
                 guard=self.guard,
             ),
-            answers=answers,
+            responder=responder,
         )
-        self.clients = HttpServer(handler=self.forwarder.serve, limits=HttpLimits())
-        self.probes = HttpServer(handler=self._answer_probe, limits=HttpLimits())
+        self.client_server = HttpServer(handler=self.forwarder.serve, limits=HttpLimits())
+        self.probe_server = HttpServer(handler=self._answer_probe, limits=HttpLimits())
 
     async def open(self) -> None:
         """Listen, and follow control."""
-        self._serve_methods()
+        self._register_methods()
         await self.server.start()
         self.stack.push_async_callback(self.server.close)
         self.stack.callback(self.pool.close)
-        await self.probes.start(*split_address(self.settings.own['ready']))
-        self.stack.push_async_callback(self.probes.close)
-        await self.clients.start(*split_address(self.settings.own['http']))
-        self.stack.push_async_callback(self.clients.close)
+        await self.probe_server.start(*split_address(self.settings.own['ready']))
+        self.stack.push_async_callback(self.probe_server.close)
+        await self.client_server.start(*split_address(self.settings.own['http']))
+        self.stack.push_async_callback(self.client_server.close)
         await self.open_metrics(self.metrics)
         self.spawn(self.follower.run())
-        self.spawn(self._sweep_always())
-        self.spawn(self._listen_always())
+        self.spawn(self._run_cleanup())
+        self.spawn(self._run_monitor())
 
     def reload(self, settings: Settings) -> None:
         """Take over other seeds."""
@@ -192,19 +192,24 @@
         """Let the balancer turn away, then finish what was read."""
         loop = asyncio.get_running_loop()
         self.follower.draining = True
-        self.clients.closing = True
-        until = loop.time() + max(0, self.drain_limit_s - _RESERVE_S)
-        await asyncio.sleep(min(_LEAVE_S, max(0, self.drain_limit_s - _RESERVE_S - _HAND_BACK_S)))
-        self.clients.stop_listening()
-        while loop.time() < until:
-            if loop.time() > until - _HAND_BACK_S:
-                self.forwarder.hand_back()
-            self.clients.close_idle()
-            if not self.clients.active and not self.works.in_flight:
+        self.client_server.closing = True
+        stop_at = loop.time() + max(0, self.drain_limit_s - _ABORT_RESERVE_S)
+        await asyncio.sleep(
+            min(
+                _DEREGISTRATION_DELAY_S,
+                max(0, self.drain_limit_s - _ABORT_RESERVE_S - _STAGE_ABORT_LEAD_S),
+            )
+        )
+        self.client_server.stop_listening()
+        while loop.time() < stop_at:
+            if loop.time() > stop_at - _STAGE_ABORT_LEAD_S:
+                self.forwarder.abort_stages()
+            self.client_server.close_idle()
+            if not self.client_server.active and not self.piece_scheduler.in_flight:
                 break
             await asyncio.sleep(_DRAIN_POLL_S)
 
-    def leave_silent(self) -> None:
+    def abandon_silent_engines(self) -> None:
         """Leave engines that have gone silent, and send their work elsewhere."""
         now = self.node.clock.now()
         for instance in self.silence.silent(now):
@@ -216,7 +221,7 @@
             for request in self.silence.give_up(instance):
                 self.silence.ended(instance, request)
 
-    def _serve_methods(self) -> None:
+    def _register_methods(self) -> None:
         self.server.add(PIECES, self.pieces.serve_pieces)
         self.server.add(WAITS, self.pieces.serve_waits)
         self.server.add(RELEASE, self.pieces.serve_release)
@@ -232,12 +237,12 @@
         else:
             await exchange.respond(_NOT_FOUND, [])
 
-    def _changed(self) -> None:
+    def _apply_changes(self) -> None:
         limits = self.follower.table.limits
-        self.clients.limits.head_bytes = limits.head_bytes
-        self.clients.limits.body_bytes = limits.body_bytes
-        self.clients.limits.head_s = limits.head_s
-        self.clients.limits.idle_s = limits.idle_s
+        self.client_server.limits.head_bytes = limits.head_bytes
+        self.client_server.limits.body_bytes = limits.body_bytes
+        self.client_server.limits.head_s = limits.head_s
+        self.client_server.limits.idle_s = limits.idle_s
         self.guard.see_news()
         held = self.follower.quarantine
         self.metrics.put('contents_quarantined', len(held.quarantined))
@@ -245,11 +250,11 @@
         self.metrics.put('zones_drained', len(self.follower.view.drained.names))
         self.retries.processes = max(1, len(self.follower.gateways))
         self.ownership.refresh()
-        self.works.refresh()
+        self.piece_scheduler.refresh()
 
-    async def _sweep_always(self) -> None:
+    async def _run_cleanup(self) -> None:
         while True:  # noqa: WPS457 - ends with the role
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_CLEANUP_INTERVAL_S)
             self.pool.sweep()
             known = set(self.follower.view.backends)
             self.health.keep_only(known)
@@ -258,15 +263,15 @@
             self.turns.keep_only(known)
             self.words.keep_only(known)
 
-    async def _listen_always(self) -> None:
+    async def _run_monitor(self) -> None:
         while True:  # noqa: WPS457 - ends with the role
-            due = self.node.clock.now() + _LISTEN_S
-            await asyncio.sleep(_LISTEN_S)
-            self._note_lag(self.node.clock.now() - due)
+            due = self.node.clock.now() + _MONITOR_INTERVAL_S
+            await asyncio.sleep(_MONITOR_INTERVAL_S)
+            self._update_lag(self.node.clock.now() - due)
             self.guard.judge()
-            self.leave_silent()
+            self.abandon_silent_engines()
 
-    def _note_lag(self, late_s: float) -> None:
+    def _update_lag(self, late_s: float) -> None:
         now = self.node.clock.now()
         self.lag.note(late_s, now)
         busy = self.lag.is_busy(now)
--- a/ringseam/gateway/stages/client.py
+++ b/ringseam/gateway/stages/client.py
@@ -15,6 +15,7 @@
 
 from ringseam.clock import MS_PER_S
 from ringseam.errors import UnreachableError
+from ringseam.gateway.priorities import Precedence
 from ringseam.gateway.stages.jobs import PieceJob
 from ringseam.gateway.stages.messages import (
     PIECES,
@@ -27,7 +28,6 @@
     WaitsReply,
     WaitsRequest,
 )
-from ringseam.gateway.worth import Precedence
 from ringseam.messages import Empty
 from ringseam.platform.stages import PieceFault, PieceResult
 from ringseam.quarantinemessages import Suspect
--- a/ringseam/gateway/stages/graph.py
+++ b/ringseam/gateway/stages/graph.py
@@ -16,8 +16,8 @@
     from collections.abc import Iterable
 
     from ringseam.clock import Clock
+    from ringseam.gateway.requestcontext import RequestContext
     from ringseam.gateway.stages.client import PieceClient
-    from ringseam.gateway.work import Work
     from ringseam.platform.stages import PieceResult
     from ringseam.routes import Route, RouteStage, RouteTable, ServiceName
 
@@ -44,7 +44,7 @@
 class StageRun:
     """Results of one request's stages; owned until they are released."""
 
-    work: Work
+    work: RequestContext
     pieces: PieceClient
     clock: Clock
     table: RouteTable
@@ -212,14 +212,14 @@
             pieces=tuple(range(count)),
             key='' if inputs else work.request.piece_key,
             inputs=inputs,
-            due=work.goal - _ENGINE_BUDGET_S - self.plan.remaining_s(number),
+            due=work.scheduling_deadline - _ENGINE_BUDGET_S - self.plan.remaining_s(number),
             deadline=work.deadline - self.plan.min_remaining_s(number),
             rank=work.precedence.rank,
             returned=work.precedence.returned,
             result_bytes=stage.result_bytes,
             expires=self._expiry_of_inputs(stage),
             zone=self._preferred_zone(number, inputs),
-            zones=work.zones,
+            zones=work.allowed_zones,
             inputs_of=self.plan.sole_input_service(number),
             suspect=work.suspect,
             trial_at=work.trial_at,
--- a/ringseam/gateway/stages/jobs.py
+++ b/ringseam/gateway/stages/jobs.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ringseam.contents import ContentId
-from ringseam.gateway.worth import Precedence
+from ringseam.gateway.priorities import Precedence
 from ringseam.quarantinemessages import Suspect
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
     #: When the whole request stops earning its full worth, less later work.
     due: float
     deadline: float
-    #: Who goes first, 0 before all; see :func:`ringseam.gateway.worth.rank_of`.
+    #: Who goes first, 0 before all; see :func:`ringseam.gateway.priorities.rank_of`.
     rank: int
     result_bytes: int
     #: Whether its client was turned away before.
--- a/ringseam/gateway/stages/order.py
+++ b/ringseam/gateway/stages/order.py
@@ -6,14 +6,14 @@
 import enum
 from typing import TYPE_CHECKING
 
-from ringseam.gateway.worth import priority_of
+from ringseam.gateway.priorities import route_priority
 
 if TYPE_CHECKING:
     from collections.abc import Collection
 
     from ringseam.backends import BackendReport
+    from ringseam.gateway.priorities import Precedence
     from ringseam.gateway.stages.jobs import Piece, PieceGroup
-    from ringseam.gateway.worth import Precedence
     from ringseam.routes import BatchSpec
 
 #: A piece whose inputs are given up within this time goes first, seconds: a call
@@ -64,7 +64,7 @@
     it has the time for some more calls there; the dearest requests don't wait.
     """
     job = piece.job
-    if piece.failed_servers or priority_of(job.rank) == 0:
+    if piece.failed_servers or route_priority(job.rank) == 0:
         return True
     spare = job.due - now - _MIN_SPARE_CALLS * spec.whole_call_s
     return spare < 0 < job.due - now
--- a/ringseam/gateway/stages/scheduler.py
+++ b/ringseam/gateway/stages/scheduler.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from ringseam.clock import MS_PER_S
+from ringseam.gateway.priorities import Precedence
 from ringseam.gateway.stages.batching import FULL_BACKOFF_S, Batcher
 from ringseam.gateway.stages.calllog import CallLog
 from ringseam.gateway.stages.calls import FullError
@@ -21,7 +22,6 @@
     JobResults,
     ServiceState,
 )
-from ringseam.gateway.worth import Precedence
 from ringseam.platform.stages import PieceFault, PieceResult, maker_of
 from ringseam.retries import Retry
 from ringseam.routes import ServiceName
--- a/ringseam/gateway/stages/waitestimate.py
+++ b/ringseam/gateway/stages/waitestimate.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from ringseam.gateway.worth import Precedence
+    from ringseam.gateway.priorities import Precedence
 
 #: Clients that came back are left this share of a service at least, so that the
 #: time until their turn is long and not endless.
--- a/ringseam/model/engines.py
+++ b/ringseam/model/engines.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ringseam.gateway.work import Answered, LossCause, Lost, NotRun
+from ringseam.gateway.requestcontext import Answered, LossCause, Lost, NotRun
 from ringseam.model.saying import Saying
 from ringseam.model.stageservers import way_between
 from ringseam.web.client import ChannelError, RefusedError, ResponseHead
@@ -21,7 +21,7 @@
     from ringseam.gateway.engines.silence import SilenceBook
     from ringseam.gateway.following.health import HealthBook
     from ringseam.gateway.following.serverwords import ServerWords
-    from ringseam.gateway.work import TryOutcome, Work
+    from ringseam.gateway.requestcontext import RequestContext, TryOutcome
     from ringseam.model.pattern import ServiceLoad
     from ringseam.model.stageservers import Results
 
@@ -37,7 +37,7 @@
 class EngineRun:
     """One request at an engine: what is to be read, then made."""
 
-    work: Work
+    work: RequestContext
     order: int
     urgency: int
     unread: int
@@ -85,7 +85,7 @@
     #: Called when a content ends this engine.
     on_end: Callable[[], None] = lambda: None
 
-    def submit(self, work: Work, last_event: int, events: int) -> EngineRun:
+    def submit(self, work: RequestContext, last_event: int, events: int) -> EngineRun:
         """Let a request run; more urgent ones are read first."""
         parts = work.request.prefix
         now = self.clock.now()
@@ -250,7 +250,7 @@
 
     async def send(
         self,
-        work: Work,
+        work: RequestContext,
         server: BackendReport,
         *,
         last_event: int | None,
@@ -264,9 +264,9 @@
         attempt = work.request.attempt_id
         if engine.saying.turns_away(engine.clock.now()):
             self.words.heard(server.instance, engine.saying.marks(attempt, engine.clock.now()))
-            return NotRun(detail='paused', reached=True, status=_UNAVAILABLE)
+            return NotRun(detail='paused', refused_by_server=True, status=_UNAVAILABLE)
         if not await self.kept.fetch(work.inputs, server.zone):
-            return NotRun(detail='input gone', reached=True, status=_CONFLICT)
+            return NotRun(detail='input gone', refused_by_server=True, status=_CONFLICT)
         events = self.events_of[work.request.attempt_id]
         run = engine.submit(work, last_event or 0, events)
         channel = ModelChannel(engine=engine, run=run, first=b'')
--- a/ringseam/model/gateways.py
+++ b/ringseam/model/gateways.py
@@ -19,8 +19,8 @@
 from ringseam.gateway.following.pacing import Pace
 from ringseam.gateway.following.serverwords import ServerWords
 from ringseam.gateway.following.turns import Turns
-from ringseam.gateway.requests.answers import Answers
-from ringseam.gateway.requests.attempts import Attempts
+from ringseam.gateway.requests.answers import Responder
+from ringseam.gateway.requests.attempts import AttemptRunner
 from ringseam.gateway.requests.forwarding import Forwarder
 from ringseam.gateway.stages.client import PieceClient
 from ringseam.gateway.stages.messages import PIECES, RELEASE, WAITS
@@ -238,14 +238,14 @@
             clock=clock, client=client, scheduler=self.works, ownership=ownership
         )
         self.works.release_inputs = self.pieces.release
-        answers = Answers(node=node, metrics=Metrics())
-        attempts = Attempts(
+        responder = Responder(node=node, metrics=Metrics())
+        attempts = AttemptRunner(
             node=node,
             follower=self.follower,
             sender=sender,
             placements=self.placements,
             retries=retries,
-            answers=answers,
+            responder=responder,
             guard=self.guard,
         )
         self.forwarder = Forwarder(
@@ -253,7 +253,7 @@
             follower=self.follower,
             pieces=self.pieces,
             attempts=attempts,
-            answers=answers,
+            responder=responder,
         )
         self._listen(turns)
 
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -31,10 +31,10 @@
 retry_slack = 100
 """
 #: A step of a scripted server: gets the request's head and the writer.
-Script = Callable[['Asked', asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[['ReceivedRequest', asyncio.StreamWriter], Awaitable[None]]
 
 
-class Asked:
+class ReceivedRequest:
     """A request as a scripted server got it."""
 
     def __init__(self, head: bytes, reader: asyncio.StreamReader) -> None:
@@ -50,7 +50,7 @@
         return ''
 
     @property
-    def attempt(self) -> str:
+    def attempt_id(self) -> str:
         return self.header('Attempt-Id')
 
 
@@ -59,7 +59,7 @@
 
     def __init__(self, script: Script) -> None:
         self.script = script
-        self.asked: list[Asked] = []
+        self.requests: list[ReceivedRequest] = []
         self.connections = 0
         self.server: asyncio.Server | None = None
 
@@ -72,26 +72,27 @@
         with contextlib.suppress(asyncio.IncompleteReadError, OSError):
             while True:
                 head = (await reader.readuntil(b'\r\n\r\n'))[:-4]
-                asked = Asked(head, reader)
-                length = int(asked.header('Content-Length') or 0)
-                asked.body = await reader.readexactly(length)
-                self.asked.append(asked)
-                await self.script(asked, writer)
+                request = ReceivedRequest(head, reader)
+                length = int(request.header('Content-Length') or 0)
+                request.body = await reader.readexactly(length)
+                self.requests.append(request)
+                await self.script(request, writer)
                 await writer.drain()
         writer.close()
 
 
-def answer(
-    asked: Asked,
+def http_response(
+    request: ReceivedRequest,
     body: bytes = b'ok',
     status: str = '200 OK',
     *,
-    attempt: str | None = None,
+    attempt_id: str | None = None,
     extra: str = '',
 ) -> bytes:
     """Return a whole answer of a backend server."""
     return (
-        f'HTTP/1.1 {status}\r\nAttempt-Id: {asked.attempt if attempt is None else attempt}\r\n'
+        f'HTTP/1.1 {status}\r\n'
+        f'Attempt-Id: {request.attempt_id if attempt_id is None else attempt_id}\r\n'
         f'Server-Seal: seal\r\nKeep-Alive: timeout=5\r\n{extra}Content-Length: {len(body)}\r\n\r\n'
     ).encode() + body
 
@@ -107,9 +108,9 @@
     return b'id: %d\ndata: t%d\n\n' % (number, number)
 
 
-def stream_head(asked: Asked) -> bytes:
+def stream_head(request: ReceivedRequest) -> bytes:
     return (
-        f'HTTP/1.1 200 OK\r\nAttempt-Id: {asked.attempt}\r\nServer-Seal: seal\r\n'
+        f'HTTP/1.1 200 OK\r\nAttempt-Id: {request.attempt_id}\r\nServer-Seal: seal\r\n'
         'Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n'
     ).encode()
 
@@ -191,26 +192,28 @@
 
     async def __aenter__(self) -> LocalGateway:
         role = self.role
-        role._serve_methods()
+        role._register_methods()
         await role.server.start()
         role.stack.push_async_callback(role.server.close)
         role.stack.callback(role.pool.close)
         role.stack.callback(role.client.close)
-        role.stack.push_async_callback(role.clients.close)
-        role.stack.push_async_callback(role.probes.close)
-        self.port = await role.clients.start('127.0.0.1', 0)
-        self.ready_port = await role.probes.start('127.0.0.1', 0)
-        self.apply(manifest())
+        role.stack.push_async_callback(role.client_server.close)
+        role.stack.push_async_callback(role.probe_server.close)
+        self.port = await role.client_server.start('127.0.0.1', 0)
+        self.ready_port = await role.probe_server.start('127.0.0.1', 0)
+        self.apply_document(manifest())
         return self
 
     async def __aexit__(self, *failure) -> None:
         await self.role.stack.aclose()
 
-    def apply(self, document: bytes) -> None:
+    def apply_document(self, document: bytes) -> None:
         self.role.follower.table = decode_manifest(document)
-        self.role._changed()
+        self.role._apply_changes()
 
-    def add(self, address: str, service: str = 'plain', name: str = '', zone: str = 'a') -> None:
+    def add_server(
+        self, address: str, service: str = 'plain', name: str = '', zone: str = 'a'
+    ) -> None:
         self.role.follower.view.apply(
             BackendReport(
                 instance=BackendId(name or address),
@@ -221,20 +224,20 @@
                 slots=4,
             ),
         )
-        self.role.works.refresh()
+        self.role.piece_scheduler.refresh()
 
-    def know_gateways(self, *states: GatewayState) -> None:
+    def set_gateways(self, *states: GatewayState) -> None:
         self.role.follower.gateways = states
 
-    async def ask(self, path: str, *, read_s: float = 4, **headers: str) -> tuple[int, bytes]:
+    async def fetch(self, path: str, *, read_s: float = 4, **headers: str) -> tuple[int, bytes]:
         """Return the status and all bytes of the answer until its end."""
-        reader, writer = await self.open(path, **headers)
+        reader, writer = await self.open_request(path, **headers)
         async with asyncio.timeout(read_s):
             raw = await reader.read()
         writer.close()
         return (int(raw.split(b' ')[1]) if raw else 0), raw
 
-    async def open(self, path: str, **headers: str):
+    async def open_request(self, path: str, **headers: str):
         """Send a request on a connection of its own."""
         reader, writer = await asyncio.open_connection('127.0.0.1', self.port)
         sent = {
@@ -252,10 +255,10 @@
         return reader, writer
 
 
-def streaming(first, last, *, end=True):
-    async def script(asked, writer):
-        after = int(asked.header('Last-Event-Id') or 0)
-        writer.write(stream_head(asked))
+def stream_script(first, last, *, end=True):
+    async def script(request, writer):
+        after = int(request.header('Last-Event-Id') or 0)
+        writer.write(stream_head(request))
         for number in range(max(first, after + 1), last + 1):
             writer.write(chunk(event(number)))
             await writer.drain()
@@ -268,10 +271,10 @@
     return script
 
 
-def events_of(raw):
+def event_ids(raw):
     return [int(line[3:]) for line in raw.split(b'\n') if line.startswith(b'id:')]
 
 
-async def full(asked, writer):
+async def refuse_full(request, writer):
     """Refuse a request as a server does that has no place left."""
     writer.write(b'HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n')
--- a/tests/test_gateway/test_following/test_following_guard.py
+++ b/tests/test_gateway/test_following/test_following_guard.py
@@ -26,9 +26,9 @@
 from tests.gateways import (
     LocalGateway,
     ScriptedServer,
-    answer,
     chunk,
     event,
+    http_response,
     reset,
     stream_head,
 )
@@ -64,11 +64,11 @@
 
 
 async def good(asked, writer):
-    writer.write(answer(asked))
+    writer.write(http_response(asked))
 
 
 async def failing(asked, writer):
-    writer.write(answer(asked, status='500 Broken'))
+    writer.write(http_response(asked, status='500 Broken'))
 
 
 async def resetting(asked, writer):
@@ -80,11 +80,11 @@
     orders = decode_orders(asked.body)
     await asyncio.sleep(0.3)
     made = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
-    writer.write(answer(asked, encode_results(made), attempt=''))
+    writer.write(http_response(asked, encode_results(made), attempt_id=''))
 
 
 async def add(gateway, server, name, **known):
-    gateway.add(await server.start(), name=name, **known)
+    gateway.add_server(await server.start(), name=name, **known)
 
 
 def test_reset_by_a_server_that_goes_on_is_no_end(key_file):
@@ -93,7 +93,7 @@
             for name in 'abc':
                 await add(gateway, ScriptedServer(resetting), name)
             for number in range(6):
-                await gateway.ask('/idem/x', Attempt_Id=f'r{number}')
+                await gateway.fetch('/idem/x', Attempt_Id=f'r{number}')
             assert not gateway.role.guard.ends.seen
             assert not gateway.role.guard.local.evidence.crashes
 
@@ -105,9 +105,9 @@
     async def run():
         async with LocalGateway(key_file) as gateway:
             await add(gateway, Ending(before), 'a')
-            mate = asyncio.create_task(gateway.ask('/cut/mate', X_Waits='1', Attempt_Id='r2'))
+            mate = asyncio.create_task(gateway.fetch('/cut/mate', X_Waits='1', Attempt_Id='r2'))
             await asyncio.sleep(0.05)
-            await gateway.ask('/cut/x')
+            await gateway.fetch('/cut/x')
             await mate
             (seen,) = gateway.role.guard.ends.seen
         found = {suspect.content for suspect in seen.end.suspects}
@@ -128,7 +128,7 @@
             server = gateway.role.follower.view.backends[BackendId('a')]
             late = Suspect(content=content('/cut/late'), account='acme')
             guard.ends.sent(server, 'late', late)
-            await gateway.ask('/idem/x')
+            await gateway.fetch('/idem/x')
             await guard.ends.broke(server)
             (seen,) = guard.ends.seen
         assert late in seen.end.suspects
@@ -144,7 +144,7 @@
             guard = gateway.role.guard
             await add(gateway, Ending(), 'a')
             guard.ends.fell_silent(BackendId('a'), None)
-            await gateway.ask('/idem/x')
+            await gateway.fetch('/idem/x')
             assert not guard.ends.seen
 
     asyncio.run(run())
@@ -157,15 +157,15 @@
             for number, server in enumerate(servers):
                 await add(gateway, server, f'a{number}')
             for number in range(3):
-                await gateway.ask('/idem/x', Attempt_Id=f'r{number}')
+                await gateway.fetch('/idem/x', Attempt_Id=f'r{number}')
             gateway.role.guard.local.evaluate(gateway.role.node.clock.now() + REPORT_SETTLE_S)
             sound = ScriptedServer(good)
             await add(gateway, sound, 'z')
-            status, raw = await gateway.ask('/idem/x', Attempt_Id='again')
-            other, _ = await gateway.ask('/idem/other', Attempt_Id='other')
+            status, raw = await gateway.fetch('/idem/x', Attempt_Id='again')
+            other, _ = await gateway.fetch('/idem/other', Attempt_Id='other')
         assert (status, other) == (400, 200)
         assert b'retry-after' not in raw.lower()
-        assert [asked.attempt for asked in sound.asked] == ['other']
+        assert [asked.attempt_id for asked in sound.requests] == ['other']
 
     asyncio.run(run())
 
@@ -179,9 +179,9 @@
             for number, server in enumerate(servers):
                 await add(gateway, server, f'a{number}')
             statuses = [
-                (await gateway.ask('/idem/x', Attempt_Id=f'r{number}'))[0] for number in range(2)
+                (await gateway.fetch('/idem/x', Attempt_Id=f'r{number}'))[0] for number in range(2)
             ]
-        assert len([server for server in servers if server.asked]) == 3
+        assert len([server for server in servers if server.requests]) == 3
         assert statuses == [502, 502]
 
     asyncio.run(run())
@@ -194,10 +194,10 @@
             for number, server in enumerate(servers):
                 await add(gateway, server, f'a{number}', service='crops')
             statuses = [
-                (await gateway.ask('/staged/x', Attempt_Id=f'r{number}', Pieces='1'))[0]
+                (await gateway.fetch('/staged/x', Attempt_Id=f'r{number}', Pieces='1'))[0]
                 for number in range(2)
             ]
-        assert len([server for server in servers if server.asked]) == 3
+        assert len([server for server in servers if server.requests]) == 3
         assert 200 not in statuses
 
     asyncio.run(run())
@@ -279,9 +279,9 @@
         async with LocalGateway(key_file) as gateway:
             for name in 'ab':
                 await add(gateway, Ending(), name)
-            await gateway.ask('/idem/x')
+            await gateway.fetch('/idem/x')
             await add(gateway, ScriptedServer(good), 'c')
-            status, _ = await gateway.ask('/idem/x', Attempt_Id='again')
+            status, _ = await gateway.fetch('/idem/x', Attempt_Id='again')
             await asyncio.sleep(0)
             assert not gateway.role.guard.local.suspects
         assert status == 200
@@ -299,11 +299,11 @@
             held = {content('/idem/x'): 0, content('/staged/x'): 0}
             gateway.role.follower.quarantine = QuarantineSnapshot(version=2, quarantined=held)
             statuses = [
-                (await gateway.ask(path, Attempt_Id='new', Pieces=pieces))[0]
+                (await gateway.fetch(path, Attempt_Id='new', Pieces=pieces))[0]
                 for path, pieces in (('/idem/x', ''), ('/staged/x', '1'), ('/idem/y', ''))
             ]
         assert statuses == [400, 400, 200]
-        assert len(server.asked) == 1
+        assert len(server.requests) == 1
 
     asyncio.run(run())
 
@@ -319,10 +319,10 @@
             gateway.role.follower.leader = '127.0.0.1:1'
             suspects = (content('/idem/x'),)
             gateway.role.follower.quarantine = QuarantineSnapshot(version=2, suspects=suspects)
-            status, raw = await gateway.ask('/idem/x')
+            status, raw = await gateway.fetch('/idem/x')
         assert status == 503
         assert b'retry-after' in raw.lower()
-        assert not server.asked
+        assert not server.requests
 
     asyncio.run(run())
 
@@ -344,8 +344,8 @@
             gateway.role.follower.in_touch = True
             gateway.role.follower.leader = '127.0.0.1:1'
             for number in range(5):
-                await gateway.ask('/idem/x', Attempt_Id=f'try-{number}')
-            return gateway.role.forwarder.fairness.shares
+                await gateway.fetch('/idem/x', Attempt_Id=f'try-{number}')
+            return gateway.role.forwarder.fairness.routes
 
     assert not asyncio.run(run())
 
@@ -358,7 +358,9 @@
             await add(gateway, server, 'a', service='crops')
             asks = [
                 asyncio.create_task(
-                    gateway.ask(f'/staged/{name}', Attempt_Id=name, Pieces='4', Deadline_Ms='900'),
+                    gateway.fetch(
+                        f'/staged/{name}', Attempt_Id=name, Pieces='4', Deadline_Ms='900'
+                    ),
                 )
                 for name in ('first', 'second')
             ]
@@ -366,7 +368,7 @@
             held = {content('/staged/second'): 0} if falls else {}
             gateway.role.follower.quarantine = QuarantineSnapshot(version=2, quarantined=held)
             await asyncio.gather(*asks)
-            bodies = b''.join(asked.body for asked in server.asked)
+            bodies = b''.join(asked.body for asked in server.requests)
         assert b'first' in bodies
         assert (b'second' not in bodies) is falls
 
@@ -377,7 +379,7 @@
     async def run():
         async with LocalGateway(key_file) as gateway:
             await add(gateway, Ending(), 'a', service='crops')
-            await gateway.ask('/staged/x', Pieces='2', Deadline_Ms='900')
+            await gateway.fetch('/staged/x', Pieces='2', Deadline_Ms='900')
             (seen,) = gateway.role.guard.ends.seen
         assert [suspect.content for suspect in seen.end.suspects] == [content('/staged/x')]
 
@@ -393,8 +395,8 @@
             confined = (('acme', 'plain'),)
             gateway.role.follower.quarantine = QuarantineSnapshot(version=2, confined=confined)
             for number in range(12):
-                await gateway.ask(f'/idem/{number}', Attempt_Id=f'r{number}')
-        assert sorted(len(server.asked) for server in servers) == [0, 0, 0, 12]
+                await gateway.fetch(f'/idem/{number}', Attempt_Id=f'r{number}')
+        assert sorted(len(server.requests) for server in servers) == [0, 0, 0, 12]
 
     asyncio.run(run())
 
@@ -407,7 +409,7 @@
         async with LocalGateway(key_file) as gateway:
             guard = gateway.role.guard
             await add(gateway, ScriptedServer(script), 'a')
-            await gateway.ask('/idem/x')
+            await gateway.fetch('/idem/x')
             now = gateway.role.node.clock.now()
             assert guard.served.contains(content('/idem/x'), '', now) is bears
             server = gateway.role.follower.view.backends[BackendId('a')]
--- a/tests/test_gateway/test_following/test_following_health.py
+++ b/tests/test_gateway/test_following/test_following_health.py
@@ -5,7 +5,7 @@
 from ringseam.backends import BackendId, BackendReport
 from ringseam.gateway.following.health import HealthBook
 from ringseam.gateway.following.ownership import rendezvous
-from ringseam.gateway.requests.choice import FirstChoice, MeasuredChoice
+from ringseam.gateway.requests.balancing import LatencyPolicy, LocalZonePolicy
 from ringseam.routes import ServiceName
 
 A = BackendId('a')
@@ -49,7 +49,7 @@
 
 def test_ejected_server_is_avoided_unless_all_are():
     book = HealthBook()
-    choice = MeasuredChoice(health=book, zone='x')
+    choice = LatencyPolicy(health=book, zone='x')
     servers = [server(A), server(B, 'y')]
     assert choice.choose(servers, 0).instance == A
     book.failed(A, 0, hard=True)
@@ -64,12 +64,12 @@
     for _ in range(10):
         book.took(A, 0.4)
         book.took(B, 0.02)
-    assert MeasuredChoice(health=book, zone='x').choose(servers, 0).instance == B
-    assert FirstChoice(health=book, zone='x').choose(servers, 0).instance == A
+    assert LatencyPolicy(health=book, zone='x').choose(servers, 0).instance == B
+    assert LocalZonePolicy(health=book, zone='x').choose(servers, 0).instance == A
 
 
 def test_nobody_to_choose():
-    assert MeasuredChoice(health=HealthBook(), zone='x').choose([], 0) is None
+    assert LatencyPolicy(health=HealthBook(), zone='x').choose([], 0) is None
 
 
 def test_rendezvous_moves_only_the_keys_of_who_left():
--- a/tests/test_gateway/test_following/test_following_zones.py
+++ b/tests/test_gateway/test_following/test_following_zones.py
@@ -9,19 +9,27 @@
 from ringseam.platform.stages import PieceResult, decode_orders, encode_results
 from ringseam.routes import ColdSpec, ServiceName
 from ringseam.zones import DrainedZones
-from tests.gateways import LocalGateway, ScriptedServer, answer, chunk, event, reset, stream_head
+from tests.gateways import (
+    LocalGateway,
+    ScriptedServer,
+    chunk,
+    event,
+    http_response,
+    reset,
+    stream_head,
+)
 
 PROMPT = {'Prompt_Prefix': 'aa:100,bb:20', 'Token_Counts': '120,10'}
 
 
 async def good(asked, writer):
-    writer.write(answer(asked))
+    writer.write(http_response(asked))
 
 
 async def make(asked, writer):
     orders = decode_orders(asked.body)
     made = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
-    writer.write(answer(asked, encode_results(made), attempt=''))
+    writer.write(http_response(asked, encode_results(made), attempt_id=''))
 
 
 async def break_off(asked, writer):
@@ -33,7 +41,7 @@
 
 def drain(gateway, change, *names):
     gateway.role.follower.view.drain_zones(DrainedZones(change=change, names=names))
-    gateway.role.works.refresh()
+    gateway.role.piece_scheduler.refresh()
 
 
 @pytest.mark.parametrize(
@@ -45,14 +53,14 @@
         servers = {zone: ScriptedServer(good) for zone in 'ab'}
         async with LocalGateway(key_file) as gateway:
             for zone, server in servers.items():
-                gateway.add(await server.start(), zone=zone)
+                gateway.add_server(await server.start(), zone=zone)
             drain(gateway, 1, 'a')
-            statuses = [(await gateway.ask(path, **headers))[0] for _ in range(6)]
+            statuses = [(await gateway.fetch(path, **headers))[0] for _ in range(6)]
             assert statuses == [200] * 6
-            assert (len(servers['a'].asked), len(servers['b'].asked)) == (0, 6)
+            assert (len(servers['a'].requests), len(servers['b'].requests)) == (0, 6)
             drain(gateway, 2, 'b')
-            assert (await gateway.ask(path, **headers))[0] == 200
-            assert len(servers['a'].asked) == 1
+            assert (await gateway.fetch(path, **headers))[0] == 200
+            assert len(servers['a'].requests) == 1
 
     asyncio.run(run())
 
@@ -61,13 +69,13 @@
     async def run():
         server = ScriptedServer(good)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start(), zone='a')
+            gateway.add_server(await server.start(), zone='a')
             drain(gateway, 1, 'a')
             async with asyncio.timeout(1):
-                status, raw = await gateway.ask('/idem/x')
+                status, raw = await gateway.fetch('/idem/x')
         assert status == 503
         assert b'retry-after' in raw.lower()
-        assert not server.asked
+        assert not server.requests
 
     asyncio.run(run())
 
@@ -77,16 +85,16 @@
         server = ScriptedServer(break_off)
         other = ScriptedServer(good)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start(), zone='b')
-            gateway.add(await other.start(), zone='a', name='a')
+            gateway.add_server(await server.start(), zone='b')
+            gateway.add_server(await other.start(), zone='a', name='a')
             # The stream begins while both zones serve.
             gateway.role.health.of('a').latency_s = 9
-            asking = asyncio.create_task(gateway.ask('/flow/x'))
+            asking = asyncio.create_task(gateway.fetch('/flow/x'))
             await asyncio.sleep(0.03)
             drain(gateway, 1, 'a')
             await asking
-        assert len(server.asked) == 1
-        assert not other.asked
+        assert len(server.requests) == 1
+        assert not other.requests
 
     asyncio.run(run())
 
@@ -97,14 +105,14 @@
         last = ScriptedServer(good)
         async with LocalGateway(key_file) as gateway:
             for zone, server in servers.items():
-                gateway.add(await server.start(), service='crops', zone=zone)
-            gateway.add(await last.start(), zone='b')
+                gateway.add_server(await server.start(), service='crops', zone=zone)
+            gateway.add_server(await last.start(), zone='b')
             drain(gateway, 1, 'a')
-            asks = [gateway.ask('/staged/x', Attempt_Id=f'r{n}', Pieces='3') for n in range(5)]
+            asks = [gateway.fetch('/staged/x', Attempt_Id=f'r{n}', Pieces='3') for n in range(5)]
             found = await asyncio.gather(*asks)
         assert [status for status, _ in found] == [200] * 5
-        assert not servers['a'].asked
-        assert servers['b'].asked
+        assert not servers['a'].requests
+        assert servers['b'].requests
 
     asyncio.run(run())
 
@@ -117,15 +125,15 @@
         async with LocalGateway(key_file) as gateway, LocalGateway(key_file) as owner:
             for zone, server in servers.items():
                 address = await server.start()
-                gateway.add(address, zone=zone, name=zone)
+                gateway.add_server(address, zone=zone, name=zone)
                 if zone == 'a':
-                    owner.add(address, zone=zone, name=zone)
+                    owner.add_server(address, zone=zone, name=zone)
             address = owner.role.node.address
-            gateway.know_gateways(GatewayState(name='g2', address=address, zone='a'))
+            gateway.set_gateways(GatewayState(name='g2', address=address, zone='a'))
             drain(gateway, 1, 'a')
-            status, _ = await gateway.ask('/sticky/x', **PROMPT)
+            status, _ = await gateway.fetch('/sticky/x', **PROMPT)
         assert status == 200
-        assert not servers['a'].asked
+        assert not servers['a'].requests
 
     asyncio.run(run())
 
@@ -142,15 +150,15 @@
             services = gateway.role.follower.table.services
             cold = ColdSpec(length_s=60, per_s=4)
             services[ServiceName('plain')] = replace(services[ServiceName('plain')], cold=cold)
-            gateway.add(await servers['a'].start(), zone='a', name='a')
+            gateway.add_server(await servers['a'].start(), zone='a', name='a')
             gateway.role.follower.coldness.note(BackendId('a'), gateway.role.node.clock.now() + 60)
-            assert (await gateway.ask(path, Attempt_Id='first', **headers))[0] == 200
-            waiting = asyncio.create_task(gateway.ask(path, Attempt_Id='second', **headers))
+            assert (await gateway.fetch(path, Attempt_Id='first', **headers))[0] == 200
+            waiting = asyncio.create_task(gateway.fetch(path, Attempt_Id='second', **headers))
             await asyncio.sleep(0.05)
-            gateway.add(await servers['b'].start(), zone='b', name='b')
+            gateway.add_server(await servers['b'].start(), zone='b', name='b')
             drain(gateway, 1, 'a')
             status, _ = await waiting
         assert status == 200
-        assert [len(server.asked) for server in servers.values()] == [1, 1]
+        assert [len(server.requests) for server in servers.values()] == [1, 1]
 
     asyncio.run(run())
--- a/tests/test_gateway/test_requests/test_requests_faults.py
+++ b/tests/test_gateway/test_requests/test_requests_faults.py
@@ -9,88 +9,90 @@
 from tests.gateways import (
     LocalGateway,
     ScriptedServer,
-    answer,
-    full,
+    http_response,
     manifest,
+    refuse_full,
     reset,
 )
 
 
-async def good(asked, writer):
-    writer.write(answer(asked))
+async def respond_ok(request, writer):
+    writer.write(http_response(request))
 
 
-async def failing(asked, writer):
-    writer.write(answer(asked, b'broken', '500 Oops'))
+async def failing(request, writer):
+    writer.write(http_response(request, b'broken', '500 Oops'))
 
 
-async def other_instance(asked, writer):
+async def other_instance(request, writer):
     writer.write(b'HTTP/1.1 421 Other\r\nInstance-Id: x\r\nContent-Length: 0\r\n\r\n')
 
 
-async def resetting(asked, writer):
+async def resetting(request, writer):
     reset(writer)
 
 
-async def closing(asked, writer):
+async def closing(request, writer):
     writer.close()
 
 
-async def truncated(asked, writer):
-    writer.write(answer(asked, b'0123456789')[:-5])
+async def truncated(request, writer):
+    writer.write(http_response(request, b'0123456789')[:-5])
     writer.close()
 
 
-async def garbage(asked, writer):
+async def garbage(request, writer):
     writer.write(b'\x00\x01 this is no answer\r\n\r\n')
 
 
-async def without_seal(asked, writer):
-    writer.write(answer(asked).replace(b'Server-Seal: seal\r\n', b''))
+async def without_seal(request, writer):
+    writer.write(http_response(request).replace(b'Server-Seal: seal\r\n', b''))
 
 
-async def encoded(asked, writer):
-    writer.write(answer(asked, extra='Content-Encoding: gzip\r\n'))
+async def encoded(request, writer):
+    writer.write(http_response(request, extra='Content-Encoding: gzip\r\n'))
 
 
-async def foreign(asked, writer):
+async def foreign(request, writer):
     for _ in range(4):
-        writer.write(answer(asked, b'not yours', attempt='another'))
+        writer.write(http_response(request, b'not yours', attempt_id='another'))
 
 
-async def stray_then_good(asked, writer):
-    writer.write(answer(asked, b'not yours', attempt='another') + answer(asked))
+async def stray_then_good(request, writer):
+    writer.write(
+        http_response(request, b'not yours', attempt_id='another') + http_response(request)
+    )
 
 
-async def good_and_more(asked, writer):
-    writer.write(answer(asked) + answer(asked, b'surplus', attempt='another'))
+async def good_and_more(request, writer):
+    writer.write(http_response(request) + http_response(request, b'surplus', attempt_id='another'))
 
 
-async def unframed(asked, writer):
-    head = f'HTTP/1.1 200 OK\r\nAttempt-Id: {asked.attempt}\r\nServer-Seal: seal\r\n\r\nok'
+async def unframed(request, writer):
+    head = f'HTTP/1.1 200 OK\r\nAttempt-Id: {request.attempt_id}\r\nServer-Seal: seal\r\n\r\nok'
     writer.write(head.encode())
     await writer.drain()
     writer.close()
 
 
-async def unframed_reset(asked, writer):
-    head = f'HTTP/1.1 200 OK\r\nAttempt-Id: {asked.attempt}\r\nServer-Seal: seal\r\n\r\nok'
+async def unframed_reset(request, writer):
+    head = f'HTTP/1.1 200 OK\r\nAttempt-Id: {request.attempt_id}\r\nServer-Seal: seal\r\n\r\nok'
     writer.write(head.encode())
     await writer.drain()
     await asyncio.sleep(0.05)
     reset(writer)
 
 
-async def mute(asked, writer):
+async def stalling(request, writer):
     await asyncio.sleep(30)
 
 
 #: Script, status for a request that runs at most once, status for one that may
 #: be repeated and has a good second server, and sends of the first kind.
 FAULTS = [
-    (good, 200, 200),
+    (respond_ok, 200, 200),
     (failing, 500, 200),
-    (full, 503, 200),
+    (refuse_full, 503, 200),
     (other_instance, 503, 200),
     (resetting, 502, 200),
     (closing, 502, 200),
@@ -113,10 +115,10 @@
     async def run():
         server = ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
-            found, raw = await gateway.ask('/once/x')
+            gateway.add_server(await server.start())
+            found, raw = await gateway.fetch('/once/x')
         assert found == status
-        assert len(server.asked) == 1
+        assert len(server.requests) == 1
         if status == 200:
             assert raw.endswith(b'ok')
         if status == 503:
@@ -128,42 +130,42 @@
 @pytest.mark.parametrize(('script', 'status'), [(row[0], row[2]) for row in FAULTS])
 def test_request_that_may_be_repeated_is_served_by_the_second_server(key_file, script, status):
     async def run():
-        bad, second = ScriptedServer(script), ScriptedServer(good)
+        bad, second = ScriptedServer(script), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
             # The name decides between servers of equal cost.
-            gateway.add(await bad.start(), name='a-first')
-            gateway.add(await second.start(), name='b-second')
-            found, raw = await gateway.ask('/idem/x')
+            gateway.add_server(await bad.start(), name='a-first')
+            gateway.add_server(await second.start(), name='b-second')
+            found, raw = await gateway.fetch('/idem/x')
         assert found == status
         assert raw.endswith(b'ok')
-        assert len(bad.asked) == 1
+        assert len(bad.requests) == 1
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize('script', [failing, resetting, garbage, mute])
+@pytest.mark.parametrize('script', [failing, resetting, garbage, stalling])
 def test_request_that_may_not_be_repeated_never_reaches_a_second_server(key_file, script):
     async def run():
-        bad, second = ScriptedServer(script), ScriptedServer(good)
+        bad, second = ScriptedServer(script), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await bad.start(), name='a-first')
-            gateway.add(await second.start(), name='b-second')
-            found, _ = await gateway.ask('/once/x', Deadline_Ms='400')
+            gateway.add_server(await bad.start(), name='a-first')
+            gateway.add_server(await second.start(), name='b-second')
+            found, _ = await gateway.fetch('/once/x', Deadline_Ms='400')
         assert found in {500, 502, 504}
-        assert not second.asked
+        assert not second.requests
 
     asyncio.run(run())
 
 
 def test_refused_request_may_reach_a_second_server(key_file):
     async def run():
-        bad, second = ScriptedServer(full), ScriptedServer(good)
+        bad, second = ScriptedServer(refuse_full), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await bad.start(), name='a-first')
-            gateway.add(await second.start(), name='b-second')
-            found, _ = await gateway.ask('/once/x')
+            gateway.add_server(await bad.start(), name='a-first')
+            gateway.add_server(await second.start(), name='b-second')
+            found, _ = await gateway.fetch('/once/x')
         assert found == 200
-        assert len(second.asked) == 1
+        assert len(second.requests) == 1
 
     asyncio.run(run())
 
@@ -172,9 +174,9 @@
     async def run():
         server = ScriptedServer(good_and_more)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
+            gateway.add_server(await server.start())
             for number in range(3):
-                found, raw = await gateway.ask('/once/x', Attempt_Id=f'r{number}')
+                found, raw = await gateway.fetch('/once/x', Attempt_Id=f'r{number}')
                 assert found == 200
                 assert raw.endswith(b'ok')
         assert server.connections == 3
@@ -184,11 +186,11 @@
 
 def test_sound_connection_is_kept(key_file):
     async def run():
-        server = ScriptedServer(good)
+        server = ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
+            gateway.add_server(await server.start())
             for number in range(3):
-                await gateway.ask('/once/x', Attempt_Id=f'r{number}')
+                await gateway.fetch('/once/x', Attempt_Id=f'r{number}')
         assert server.connections == 1
 
     asyncio.run(run())
@@ -197,7 +199,7 @@
 def test_no_server_is_a_refusal_at_once(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
-            found, raw = await gateway.ask('/once/x', read_s=0.5)
+            found, raw = await gateway.fetch('/once/x', read_s=0.5)
         assert found == 503
         assert b'retry-after' in raw.lower()
 
@@ -206,15 +208,15 @@
 
 def test_time_limit_of_the_route_ends_a_request(key_file):
     async def run():
-        server = ScriptedServer(mute)
+        server = ScriptedServer(stalling)
         loop = asyncio.get_running_loop()
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
-            begun = loop.time()
-            found, _ = await gateway.ask('/short/x')
+            gateway.add_server(await server.start())
+            started_at = loop.time()
+            found, _ = await gateway.fetch('/short/x')
             assert found == 504
-            assert 0.15 < loop.time() - begun < 0.6
-        assert int(server.asked[0].header('Deadline-Ms')) <= 200
+            assert 0.15 < loop.time() - started_at < 0.6
+        assert int(server.requests[0].header('Deadline-Ms')) <= 200
 
     asyncio.run(run())
 
@@ -223,15 +225,15 @@
     async def run():
         gone = asyncio.Event()
 
-        async def watching(asked, writer):
-            await asked.reader.read()
+        async def watching(request, writer):
+            await request.reader.read()
             gone.set()
 
         server = ScriptedServer(watching)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
-            _, writer = await gateway.open('/once/x')
-            while not server.asked:
+            gateway.add_server(await server.start())
+            _, writer = await gateway.open_request('/once/x')
+            while not server.requests:
                 await asyncio.sleep(0.01)
             writer.close()
             async with asyncio.timeout(0.5):
@@ -252,16 +254,16 @@
 )
 def test_routes_and_keys(key_file, path, key, status):
     async def run():
-        server = ScriptedServer(good)
+        server = ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
-            found, _ = await gateway.ask(path, Authorization=key, Tenant='forged')
+            gateway.add_server(await server.start())
+            found, _ = await gateway.fetch(path, Authorization=key, Tenant='forged')
         assert found == status
         if status == 200:
-            asked = server.asked[0]
-            assert asked.header('Authorization') == ''
-            assert asked.header('Tenant') == ('' if path == '/open/x' else 'acme')
-            assert asked.body == b'body'
+            request = server.requests[0]
+            assert request.header('Authorization') == ''
+            assert request.header('Tenant') == ('' if path == '/open/x' else 'acme')
+            assert request.body == b'body'
 
     asyncio.run(run())
 
@@ -270,7 +272,7 @@
     async def run():
         async with LocalGateway(key_file) as gateway:
             gateway.role.follower.table = type(gateway.role.follower.table)()
-            found, _ = await gateway.ask('/nowhere/x', Authorization='')
+            found, _ = await gateway.fetch('/nowhere/x', Authorization='')
         assert found == 503
 
     asyncio.run(run())
@@ -280,26 +282,26 @@
     """Seen: 41 requests turned away within 0.4 s of a start, back only 1.5 s later."""
 
     async def run():
-        server = ScriptedServer(good)
+        server = ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
             follower = gateway.role.follower
             follower.table = type(follower.table)()
-            gateway.add(await server.start())
-            asked = asyncio.create_task(gateway.ask('/idem/x'))
+            gateway.add_server(await server.start())
+            request = asyncio.create_task(gateway.fetch('/idem/x'))
             await asyncio.sleep(0.05)
             await follower.take_document(manifest())
-            found, _ = await asked
+            found, _ = await request
         assert found == 200
 
     asyncio.run(run())
 
 
-async def new_one_only(asked, writer):
+async def new_one_only(request, writer):
     """Answer as the server that took over another one's address."""
-    if asked.header('Expect-Instance') == 'new':
-        await good(asked, writer)
+    if request.header('Expect-Instance') == 'new':
+        await respond_ok(request, writer)
     else:
-        writer.write(answer(asked, status='421 Misdirected Request'))
+        writer.write(http_response(request, status='421 Misdirected Request'))
 
 
 def test_server_that_a_late_report_brought_back_is_forgotten_at_the_first_request(key_file):
@@ -311,11 +313,11 @@
         server = ScriptedServer(new_one_only)
         async with LocalGateway(key_file) as gateway:
             address = await server.start()
-            gateway.add(address, name='a-crashed')
-            gateway.add(address, name='new')
-            first, _ = await gateway.ask('/idem/x')
+            gateway.add_server(address, name='a-crashed')
+            gateway.add_server(address, name='new')
+            first, _ = await gateway.fetch('/idem/x')
             known = set(gateway.role.follower.view.backends)
-            second, _ = await gateway.ask('/cut/x')
+            second, _ = await gateway.fetch('/cut/x')
         assert (first, second) == (200, 200)
         assert known == {'new'}
 
@@ -329,21 +331,21 @@
     async def run():
         async with LocalGateway(key_file) as gateway:
 
-            async def crashing(asked, writer):
-                if len(server.asked) > 1:
-                    writer.write(answer(asked))
+            async def crashing(request, writer):
+                if len(server.requests) > 1:
+                    writer.write(http_response(request))
                     return
-                gateway.add(address, name='i-1#9')
+                gateway.add_server(address, name='i-1#9')
                 reset(writer)
 
             server = ScriptedServer(crashing)
             address = await server.start()
-            gateway.add(address, name='i-1#7')
-            status, _ = await gateway.ask('/once/x')
+            gateway.add_server(address, name='i-1#7')
+            status, _ = await gateway.fetch('/once/x')
             assert status == 502
-            assert len(server.asked) == 1
-            assert (await gateway.ask('/once/x', Attempt_Id='r2'))[0] == 200
-            assert server.asked[1].header('Expect-Instance') == 'i-1'
+            assert len(server.requests) == 1
+            assert (await gateway.fetch('/once/x', Attempt_Id='r2'))[0] == 200
+            assert server.requests[1].header('Expect-Instance') == 'i-1'
 
     asyncio.run(run())
 
@@ -351,14 +353,14 @@
 def test_later_lifetime_is_not_judged_by_the_earlier_one(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
-            server = ScriptedServer(good)
+            server = ScriptedServer(respond_ok)
             address = await server.start()
-            gateway.add(address, name='i-1#7')
+            gateway.add_server(address, name='i-1#7')
             now = gateway.role.node.clock.now()
             gateway.role.health.failed('i-1#7', now, hard=True)
             assert gateway.role.health.of('i-1#7').ejected_until > now
-            gateway.add(address, name='i-1#9')
+            gateway.add_server(address, name='i-1#9')
             assert gateway.role.health.of('i-1#9').ejected_until <= now
-            assert (await gateway.ask('/once/x'))[0] == 200
+            assert (await gateway.fetch('/once/x'))[0] == 200
 
     asyncio.run(run())
--- a/tests/test_gateway/test_requests/test_requests_limits.py
+++ b/tests/test_gateway/test_requests/test_requests_limits.py
@@ -12,9 +12,9 @@
 from tests.gateways import (
     LocalGateway,
     ScriptedServer,
-    answer,
     chunk,
     event,
+    http_response,
     manifest,
     stream_head,
 )
@@ -25,24 +25,24 @@
 BURST = 24
 
 
-async def limited(asked, writer):
-    writer.write(answer(asked, extra=LIMIT))
+async def limited(request, writer):
+    writer.write(http_response(request, extra=LIMIT))
 
 
-async def limited_stream(asked, writer):
-    head = stream_head(asked)
+async def limited_stream(request, writer):
+    head = stream_head(request)
     writer.write(head.replace(b'Content-Type', LIMIT.encode() + b'Content-Type'))
     writer.write(chunk(event(1)) + b'0\r\n\r\n')
 
 
-async def free(asked, writer):
-    writer.write(answer(asked))
+async def respond_ok(request, writer):
+    writer.write(http_response(request))
 
 
 async def burst(gateway, path, **headers):
     """Ask once, and then many times at the same moment."""
-    await gateway.ask(path, Attempt_Id='first', **headers)
-    asks = (gateway.ask(path, Attempt_Id=f'r{number}', **headers) for number in range(BURST))
+    await gateway.fetch(path, Attempt_Id='first', **headers)
+    asks = (gateway.fetch(path, Attempt_Id=f'r{number}', **headers) for number in range(BURST))
     return await asyncio.gather(*asks)
 
 
@@ -60,11 +60,11 @@
     async def run():
         server = ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
-            answers = await burst(gateway, path, Deadline_Ms='600')
-        assert len(server.asked) <= ALLOWED
-        refused = [raw for status, raw in answers if status == 503]
-        assert len(refused) == BURST - (len(server.asked) - 1)
+            gateway.add_server(await server.start())
+            responses = await burst(gateway, path, Deadline_Ms='600')
+        assert len(server.requests) <= ALLOWED
+        refused = [raw for status, raw in responses if status == 503]
+        assert len(refused) == BURST - (len(server.requests) - 1)
         assert all(b'Retry-After' in raw for raw in refused)
 
     asyncio.run(run())
@@ -75,22 +75,22 @@
     async def run():
         place = {}
 
-        async def crops_script(asked, writer):
+        async def crops_script(request, writer):
             made = []
-            if 'stage-run' in asked.lines[0]:
-                items = json.loads(asked.body)['items']
+            if 'stage-run' in request.lines[0]:
+                items = json.loads(request.body)['items']
                 made = [{'handle': f'{place["crops"]}/{item["id"]}'} for item in items]
             body = json.dumps({'items': made}).encode()
-            writer.write(answer(asked, body, extra=LIMIT))
+            writer.write(http_response(request, body, extra=LIMIT))
 
-        crops, engine = ScriptedServer(crops_script), ScriptedServer(free)
+        crops, engine = ScriptedServer(crops_script), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
             place['crops'] = await crops.start()
-            gateway.add(place['crops'], service='crops')
-            gateway.add(await engine.start())
+            gateway.add_server(place['crops'], service='crops')
+            gateway.add_server(await engine.start())
             await burst(gateway, '/staged/x', Pieces='4', Piece_Key='pk', Deadline_Ms='600')
             await asyncio.sleep(0.1)
-        assert len(crops.asked) <= ALLOWED
+        assert len(crops.requests) <= ALLOWED
 
     asyncio.run(run())
 
@@ -99,28 +99,28 @@
 def test_owner_holds_to_a_limit_that_another_gateway_was_told(key_file):
     async def run():
         server = ScriptedServer(limited_stream)
-        async with LocalGateway(key_file) as owner, LocalGateway(key_file) as teller:
+        async with LocalGateway(key_file) as owner, LocalGateway(key_file) as informed:
             address = await server.start()
-            for gateway in (owner, teller):
-                gateway.add(address, name='e1')
+            for gateway in (owner, informed):
+                gateway.add_server(address, name='e1')
                 gateway.role.ownership.owners['plain'] = ''
-            teller.role.ownership.owners['plain'] = owner.role.node.address
-            await burst(teller, '/sticky/x', Deadline_Ms='600')
-        assert len(server.asked) <= ALLOWED
+            informed.role.ownership.owners['plain'] = owner.role.node.address
+            await burst(informed, '/sticky/x', Deadline_Ms='600')
+        assert len(server.requests) <= ALLOWED
 
     asyncio.run(run())
 
 
 def test_what_a_limited_server_does_not_take_goes_to_the_others(key_file):
     async def run():
-        one, other = ScriptedServer(limited), ScriptedServer(free)
+        one, other = ScriptedServer(limited), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await one.start(), name='a')
-            answers = await gateway.ask('/idem/x')
-            gateway.add(await other.start(), name='b')
-            answers = await burst(gateway, '/idem/x')
-        assert [status for status, _ in answers] == [200] * BURST
-        assert len(one.asked) <= ALLOWED
+            gateway.add_server(await one.start(), name='a')
+            responses = await gateway.fetch('/idem/x')
+            gateway.add_server(await other.start(), name='b')
+            responses = await burst(gateway, '/idem/x')
+        assert [status for status, _ in responses] == [200] * BURST
+        assert len(one.requests) <= ALLOWED
 
     asyncio.run(run())
 
@@ -149,18 +149,18 @@
     async def run():
         says = {'extra': LIMIT}
 
-        async def script(asked, writer):
-            writer.write(answer(asked, extra=says['extra']))
+        async def script(request, writer):
+            writer.write(http_response(request, extra=says['extra']))
 
         server = ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start(), name='s')
-            await gateway.ask('/idem/x')
+            gateway.add_server(await server.start(), name='s')
+            await gateway.fetch('/idem/x')
             assert gateway.role.words.limits.of(BackendId('s')).per_s == 1
             says['extra'] = ''
             await asyncio.sleep(1)
-            answers = await burst(gateway, '/idem/x')
-        assert [status for status, _ in answers] == [200] * BURST
+            responses = await burst(gateway, '/idem/x')
+        assert [status for status, _ in responses] == [200] * BURST
 
     asyncio.run(run())
 
@@ -168,14 +168,14 @@
 @pytest.mark.parametrize('value', ['nan', '-1', '1e999', '', 'many', '1, 2', '9' * 400])
 def test_limit_that_is_no_number_changes_nothing(key_file, value):
     async def run():
-        async def script(asked, writer):
-            writer.write(answer(asked, extra=f'Server-Limit: {value}\r\n'))
+        async def script(request, writer):
+            writer.write(http_response(request, extra=f'Server-Limit: {value}\r\n'))
 
         server = ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
-            gateway.apply(manifest())
-            gateway.add(await server.start())
-            answers = await burst(gateway, '/idem/x')
-        assert [status for status, _ in answers] == [200] * BURST
+            gateway.apply_document(manifest())
+            gateway.add_server(await server.start())
+            responses = await burst(gateway, '/idem/x')
+        assert [status for status, _ in responses] == [200] * BURST
 
     asyncio.run(run())
--- a/tests/test_gateway/test_requests/test_requests_pauses.py
+++ b/tests/test_gateway/test_requests/test_requests_pauses.py
@@ -8,32 +8,32 @@
 import pytest
 
 from ringseam.gateway.following.pauses import PauseBook
-from tests.gateways import LocalGateway, ScriptedServer, answer, stream_head
+from tests.gateways import LocalGateway, ScriptedServer, http_response, stream_head
 
 #: From half a second after it was asked for, this many requests may come within a pause.
 ALLOWED = 2
 LATER = 8
 
 
-async def turning_away(asked, writer):
+async def refuse_with_pause(request, writer):
     writer.write(
         b'HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n',
     )
 
 
-async def free(asked, writer):
-    writer.write(answer(asked))
+async def respond_ok(request, writer):
+    writer.write(http_response(request))
 
 
-async def free_stream(asked, writer):
-    writer.write(stream_head(asked) + b'8\r\nid: 1\n\n\n\r\n0\r\n\r\n')
+async def respond_stream(request, writer):
+    writer.write(stream_head(request) + b'8\r\nid: 1\n\n\n\r\n0\r\n\r\n')
 
 
-async def ask_later(gateway, path, **headers):
+async def fetch_later(gateway, path, **headers):
     """Ask once and, past the time in which requests were under way, some times more."""
-    await gateway.ask(path, Attempt_Id='first', **headers)
+    await gateway.fetch(path, Attempt_Id='first', **headers)
     await asyncio.sleep(0.5)
-    asks = (gateway.ask(path, Attempt_Id=f'r{number}', **headers) for number in range(LATER))
+    asks = (gateway.fetch(path, Attempt_Id=f'r{number}', **headers) for number in range(LATER))
     return await asyncio.gather(*asks)
 
 
@@ -41,16 +41,16 @@
 @pytest.mark.parametrize('path', ['/idem/x', '/once/x', '/flow/x', '/sticky/x'])
 def test_server_that_asked_for_a_pause_gets_nothing_more(key_file, path):
     async def run():
-        server = ScriptedServer(turning_away)
+        server = ScriptedServer(refuse_with_pause)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
-            answers = await ask_later(gateway, path)
-        assert len(server.asked) - 1 <= ALLOWED
-        assert [status for status, _ in answers] == [503] * LATER
-        for _, raw in answers:
+            gateway.add_server(await server.start())
+            responses = await fetch_later(gateway, path)
+        assert len(server.requests) - 1 <= ALLOWED
+        assert [status for status, _ in responses] == [503] * LATER
+        for _, raw in responses:
             head = raw.lower()
-            come_back_s = float(head.partition(b'retry-after: ')[2].split(b'\r\n')[0])
-            assert 1.5 <= come_back_s <= 3
+            retry_after_s = float(head.partition(b'retry-after: ')[2].split(b'\r\n')[0])
+            assert 1.5 <= retry_after_s <= 3
 
     asyncio.run(run())
 
@@ -58,18 +58,18 @@
 # An idle server that turns all away was preferred to one that works.
 @pytest.mark.parametrize(
     ('path', 'script'),
-    [('/idem/x', free), ('/flow/x', free_stream), ('/sticky/x', free_stream)],
+    [('/idem/x', respond_ok), ('/flow/x', respond_stream), ('/sticky/x', respond_stream)],
 )
 def test_requests_go_to_the_others_while_a_server_pauses(key_file, path, script):
     async def run():
-        server, other = ScriptedServer(turning_away), ScriptedServer(script)
+        server, other = ScriptedServer(refuse_with_pause), ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start(), name='a')
-            await gateway.ask(path)
-            gateway.add(await other.start(), name='b')
-            answers = await ask_later(gateway, path)
-        assert [status for status, _ in answers] == [200] * LATER
-        assert len(server.asked) - 1 <= ALLOWED
+            gateway.add_server(await server.start(), name='a')
+            await gateway.fetch(path)
+            gateway.add_server(await other.start(), name='b')
+            responses = await fetch_later(gateway, path)
+        assert [status for status, _ in responses] == [200] * LATER
+        assert len(server.requests) - 1 <= ALLOWED
 
     asyncio.run(run())
 
@@ -77,20 +77,20 @@
 # The owner that places for others isn't told of a pause by the server.
 def test_owner_places_elsewhere_for_a_gateway_that_was_turned_away(key_file):
     async def run():
-        server, other = ScriptedServer(turning_away), ScriptedServer(free_stream)
-        async with LocalGateway(key_file) as owner, LocalGateway(key_file) as teller:
+        server, other = ScriptedServer(refuse_with_pause), ScriptedServer(respond_stream)
+        async with LocalGateway(key_file) as owner, LocalGateway(key_file) as informed:
             address = await server.start()
-            for gateway in (owner, teller):
-                gateway.add(address, name='a')
+            for gateway in (owner, informed):
+                gateway.add_server(address, name='a')
                 gateway.role.ownership.owners['plain'] = ''
-            teller.role.ownership.owners['plain'] = owner.role.node.address
-            await teller.ask('/sticky/x')
+            informed.role.ownership.owners['plain'] = owner.role.node.address
+            await informed.fetch('/sticky/x')
             address = await other.start()
-            for gateway in (owner, teller):
-                gateway.add(address, name='b')
-            answers = await ask_later(teller, '/sticky/x')
-        assert [status for status, _ in answers] == [200] * LATER
-        assert len(server.asked) - 1 <= ALLOWED
+            for gateway in (owner, informed):
+                gateway.add_server(address, name='b')
+            responses = await fetch_later(informed, '/sticky/x')
+        assert [status for status, _ in responses] == [200] * LATER
+        assert len(server.requests) - 1 <= ALLOWED
 
     asyncio.run(run())
 
@@ -98,13 +98,13 @@
 # Calls for pieces went back to the server after milliseconds.
 def test_stage_server_that_asked_for_a_pause_gets_no_calls(key_file):
     async def run():
-        crops, engine = ScriptedServer(turning_away), ScriptedServer(free)
+        crops, engine = ScriptedServer(refuse_with_pause), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await crops.start(), service='crops')
-            gateway.add(await engine.start())
+            gateway.add_server(await crops.start(), service='crops')
+            gateway.add_server(await engine.start())
             headers = {'Pieces': '2', 'Piece_Key': 'pk', 'Deadline_Ms': '900'}
-            await ask_later(gateway, '/staged/x', **headers)
-        assert len(crops.asked) - 1 <= ALLOWED
+            await fetch_later(gateway, '/staged/x', **headers)
+        assert len(crops.requests) - 1 <= ALLOWED
 
     asyncio.run(run())
 
@@ -112,19 +112,19 @@
 # What waits for servers that all pause is hopeless at once, not when its time is over.
 def test_request_is_refused_before_its_stages_while_all_stage_servers_pause(key_file):
     async def run():
-        crops, engine = ScriptedServer(turning_away), ScriptedServer(free)
+        crops, engine = ScriptedServer(refuse_with_pause), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await crops.start(), service='crops')
-            gateway.add(await engine.start())
+            gateway.add_server(await crops.start(), service='crops')
+            gateway.add_server(await engine.start())
             headers = {'Pieces': '2', 'Piece_Key': 'pk', 'Deadline_Ms': '900'}
-            await gateway.ask('/staged/x', Attempt_Id='first', **headers)
-            begun = gateway.role.node.clock.now()
-            status, raw = await gateway.ask('/staged/x', Attempt_Id='second', **headers)
-            took_s = gateway.role.node.clock.now() - begun
+            await gateway.fetch('/staged/x', Attempt_Id='first', **headers)
+            started_at = gateway.role.node.clock.now()
+            status, raw = await gateway.fetch('/staged/x', Attempt_Id='second', **headers)
+            took_s = gateway.role.node.clock.now() - started_at
         assert status == 503
         assert b'Retry-After' in raw
         assert took_s < 0.5
-        assert len(crops.asked) == 1
+        assert len(crops.requests) == 1
 
     asyncio.run(run())
 
@@ -133,25 +133,25 @@
     async def run():
         place = {}
 
-        async def crops_script(asked, writer):
-            if 'stage-run' not in asked.lines[0]:
-                await turning_away(asked, writer)
+        async def crops_script(request, writer):
+            if 'stage-run' not in request.lines[0]:
+                await refuse_with_pause(request, writer)
                 return
-            items = json.loads(asked.body)['items']
+            items = json.loads(request.body)['items']
             made = [{'handle': f'{place["crops"]}/{item["id"]}'} for item in items]
-            writer.write(answer(asked, json.dumps({'items': made}).encode()))
+            writer.write(http_response(request, json.dumps({'items': made}).encode()))
 
-        crops, engine = ScriptedServer(crops_script), ScriptedServer(free)
+        crops, engine = ScriptedServer(crops_script), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
             place['crops'] = await crops.start()
-            gateway.add(place['crops'], service='crops')
-            gateway.add(await engine.start())
+            gateway.add_server(place['crops'], service='crops')
+            gateway.add_server(await engine.start())
             headers = {'Pieces': '2', 'Piece_Key': 'pk', 'Deadline_Ms': '900'}
-            await gateway.ask('/staged/x', Attempt_Id='first', **headers)
+            await gateway.fetch('/staged/x', Attempt_Id='first', **headers)
             await asyncio.sleep(0.1)
-            came = len(crops.asked)
-            await ask_later(gateway, '/staged/x', **headers)
-        assert len(crops.asked) - came <= ALLOWED
+            came = len(crops.requests)
+            await fetch_later(gateway, '/staged/x', **headers)
+        assert len(crops.requests) - came <= ALLOWED
 
     asyncio.run(run())
 
@@ -160,11 +160,11 @@
     async def run():
         asked_for = []
 
-        async def script(asked, writer):
+        async def script(request, writer):
             if asked_for:
-                await free(asked, writer)
+                await respond_ok(request, writer)
                 return
-            asked_for.append(asked)
+            asked_for.append(request)
             writer.write(
                 b'HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nRetry-After: 0.4\r\n'
                 b'Content-Length: 0\r\n\r\n',
@@ -172,10 +172,10 @@
 
         server = ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
-            await gateway.ask('/idem/x')
+            gateway.add_server(await server.start())
+            await gateway.fetch('/idem/x')
             await asyncio.sleep(0.45)
-            status, _ = await gateway.ask('/idem/x')
+            status, _ = await gateway.fetch('/idem/x')
         assert status == 200
 
     asyncio.run(run())
@@ -184,16 +184,16 @@
 @pytest.mark.parametrize('value', ['nan', '-1', 'Wed, 21 Oct 2026 07:28:00 GMT', '', '1, 2'])
 def test_pause_that_is_no_number_is_none(key_file, value):
     async def run():
-        async def script(asked, writer):
+        async def script(request, writer):
             head = f'HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nRetry-After: {value}\r\n'
             writer.write(f'{head}Content-Length: 0\r\n\r\n'.encode())
 
         server = ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await server.start())
-            await gateway.ask('/idem/x', Attempt_Id='first')
-            await gateway.ask('/idem/x', Attempt_Id='second')
-        assert len(server.asked) == 2
+            gateway.add_server(await server.start())
+            await gateway.fetch('/idem/x', Attempt_Id='first')
+            await gateway.fetch('/idem/x', Attempt_Id='second')
+        assert len(server.requests) == 2
 
     asyncio.run(run())
 
--- a/tests/test_gateway/test_requests/test_requests_worth.py
+++ b/tests/test_gateway/test_requests/test_requests_priorities.py
@@ -6,19 +6,23 @@
 
 import pytest
 
-from ringseam.gateway.worth import priority_of, rank_of, urgency_of, worth_of
+from ringseam.gateway.priorities import engine_urgency, rank_of, response_value, route_priority
 
 
 def test_route_decides_among_accounts_of_equal_priority():
     """Seen on the bench: all accounts had priority 1, and the dearest requests
     waited behind the cheapest."""
     assert rank_of(0, 1) < rank_of(1, 1) < rank_of(2, 1)
-    assert urgency_of(rank_of(0, 1)) < urgency_of(rank_of(1, 1)) < urgency_of(rank_of(2, 1))
+    assert (
+        engine_urgency(rank_of(0, 1))
+        < engine_urgency(rank_of(1, 1))
+        < engine_urgency(rank_of(2, 1))
+    )
 
 
 def test_account_goes_before_the_route():
     assert rank_of(9, 0) < rank_of(0, 1)
-    assert urgency_of(rank_of(9, 0)) < urgency_of(rank_of(0, 1))
+    assert engine_urgency(rank_of(9, 0)) < engine_urgency(rank_of(0, 1))
 
 
 def test_accounts_without_a_priority_go_by_the_route():
@@ -29,9 +33,9 @@
 @pytest.mark.parametrize(('route', 'account'), list(product((0, 1, 5, 200), (None, 0, 1, 7))))
 def test_ranks_tell_the_routes_priority_and_fit_engines(route, account):
     rank = rank_of(route, account)
-    assert priority_of(rank) == min(route, 99)
-    assert 0 <= urgency_of(rank) <= 9
+    assert route_priority(rank) == min(route, 99)
+    assert 0 <= engine_urgency(rank) <= 9
 
 
 def test_worth_falls_with_the_priority_and_when_late():
-    assert worth_of(0) > worth_of(1) > worth_of(1, late=True)
+    assert response_value(0) > response_value(1) > response_value(1, late=True)
--- a/tests/test_gateway/test_requests/test_requests_regions.py
+++ b/tests/test_gateway/test_requests/test_requests_regions.py
@@ -5,17 +5,17 @@
 import pytest
 
 from ringseam.platform.stages import PieceResult, decode_orders, encode_results
-from tests.gateways import LocalGateway, ScriptedServer, answer
+from tests.gateways import LocalGateway, ScriptedServer, http_response
 
 
-async def good(asked, writer):
-    writer.write(answer(asked))
+async def respond_ok(request, writer):
+    writer.write(http_response(request))
 
 
-async def make(asked, writer):
-    orders = decode_orders(asked.body)
+async def run_pieces(request, writer):
+    orders = decode_orders(request.body)
     made = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
-    writer.write(answer(asked, encode_results(made), attempt=''))
+    writer.write(http_response(request, encode_results(made), attempt_id=''))
 
 
 @pytest.mark.parametrize(
@@ -31,16 +31,18 @@
 )
 def test_request_runs_where_route_and_account_allow_it(key_file, path, key, expected):
     async def run():
-        servers = {zone: ScriptedServer(good) for zone in 'ab'}
+        servers = {zone: ScriptedServer(respond_ok) for zone in 'ab'}
         async with LocalGateway(key_file) as gateway:
             for zone, server in servers.items():
-                gateway.add(await server.start(), zone=zone)
+                gateway.add_server(await server.start(), zone=zone)
             for number in range(5):
                 bearer = f'Bearer {key}'
-                status, raw = await gateway.ask(path, Attempt_Id=f'r{number}', Authorization=bearer)
+                status, raw = await gateway.fetch(
+                    path, Attempt_Id=f'r{number}', Authorization=bearer
+                )
                 assert status == (200 if expected else 503)
                 assert expected or b'retry-after' in raw.lower()
-        assert [zone for zone, server in servers.items() if server.asked] == expected
+        assert [zone for zone, server in servers.items() if server.requests] == expected
 
     asyncio.run(run())
 
@@ -48,15 +50,15 @@
 @pytest.mark.parametrize('zones', ['ab', 'b'])
 def test_pieces_are_made_in_the_allowed_regions_only(key_file, zones):
     async def run():
-        makers = {zone: ScriptedServer(make) for zone in zones}
-        last = ScriptedServer(good)
+        makers = {zone: ScriptedServer(run_pieces) for zone in zones}
+        last = ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
             for zone, server in makers.items():
-                gateway.add(await server.start(), service='crops', zone=zone)
-            gateway.add(await last.start(), zone='c')
+                gateway.add_server(await server.start(), service='crops', zone=zone)
+            gateway.add_server(await last.start(), zone='c')
             async with asyncio.timeout(1):
-                status, _ = await gateway.ask('/stagednorth/x', Pieces='3')
+                status, _ = await gateway.fetch('/stagednorth/x', Pieces='3')
         assert status == (200 if 'a' in zones else 503)
-        assert not makers['b'].asked
+        assert not makers['b'].requests
 
     asyncio.run(run())
--- a/tests/test_gateway/test_requests/test_requests_relay.py
+++ b/tests/test_gateway/test_requests/test_requests_relay.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 
 from ringseam.clock import PausedClock
-from ringseam.gateway.requests.relay import StreamEnd, StreamRelay
-from ringseam.gateway.work import Answered
+from ringseam.gateway.requestcontext import Answered
+from ringseam.gateway.requests.relay import StreamOutcome, StreamRelay
 from ringseam.web.client import ChannelError, ResponseHead
 from tests.gateways import event
 
-LAST = 12
+LAST_EVENT = 12
 HEAD = ResponseHead(status=200, headers=[('Content-Type', 'text/event-stream')])
 
 
@@ -23,14 +23,14 @@
 class Client:
     """What a client gets."""
 
-    got: bytes = b''
+    received: bytes = b''
     starts: int = 0
 
     def start(self, status, headers):
         self.starts += 1
 
     async def send(self, body):
-        self.got += body
+        self.received += body
 
 
 @dataclass
@@ -40,25 +40,25 @@
     chunks: list
     ends: bool
     heard_at: float = 0
-    left: list = field(init=False)
+    remaining: list = field(init=False)
 
     def __post_init__(self):
-        self.left = list(self.chunks)
+        self.remaining = list(self.chunks)
 
     async def chunk(self):
-        if self.left:
-            return self.left.pop(0)
+        if self.remaining:
+            return self.remaining.pop(0)
         if self.ends:
             return None
         raise ChannelError('reset', sent=True)
 
 
 @st.composite
-def runs(draw):
+def server_plans(draw):
     """Servers, each going on after an event with some shift, cut somewhere."""
-    found = []
+    plans = []
     for _ in range(draw(st.integers(1, 4))):
-        found.append(
+        plans.append(
             (
                 # An event is missing, none is, or the last one comes again.
                 draw(st.sampled_from([0, 0, 0, 1, -1])),
@@ -66,51 +66,53 @@
                 draw(st.integers(1, 40)),
             ),
         )
-    return found
+    return plans
 
 
-def stream_of(after, cut, size):
+def server_after(after, cut, size):
     """Return the chunks of all events after ``after`` up to byte ``cut``."""
-    whole = b''.join(event(number) for number in range(max(1, after + 1), LAST + 1))
+    whole = b''.join(event(number) for number in range(max(1, after + 1), LAST_EVENT + 1))
     kept = whole[:cut]
     chunks = [kept[begin : begin + size] for begin in range(0, len(kept), size)]
     return Server(chunks, ends=len(kept) == len(whole))
 
 
-def naive(after, shift, cut):
+def expected_last_event(after, offset, cut):
     """Return the event after which a client stands, judged on the whole bytes."""
-    begin = max(1, after + shift + 1)
+    begin = max(1, after + offset + 1)
     sent = b''
-    standing = after
-    for number in range(begin, LAST + 1):
+    last_event = after
+    for number in range(begin, LAST_EVENT + 1):
         sent += event(number)
-        if len(sent) > cut or number not in {standing, standing + 1}:
+        if len(sent) > cut or number not in {last_event, last_event + 1}:
             break
-        standing = number
-    return standing
+        last_event = number
+    return last_event
 
 
-@given(runs(), st.integers(0, 3))
-def test_client_gets_each_event_once_and_in_order(servers, seen):
+@given(server_plans(), st.integers(0, 3))
+def test_client_gets_each_event_once_and_in_order(servers, first_seen):
     """The client has seen some events before; each server is asked after the last."""
 
     async def run():
         client = Client()
-        work = SimpleNamespace(exchange=client, deadline=1000.0)
-        relay = StreamRelay(work=work, clock=PausedClock(), last=seen)
-        standing = seen
+        context = SimpleNamespace(exchange=client, deadline=1000.0)
+        relay = StreamRelay(context=context, clock=PausedClock(), last_event=first_seen)
+        last_event = first_seen
         end = None
-        for shift, cut, size in servers:
-            server = stream_of(relay.last + shift, cut, size)
-            end = await relay.pass_on(Answered(head=HEAD, marks=None, channel=server))
-            standing = naive(standing, shift, cut)
-            assert relay.last == standing
-            if end is StreamEnd.whole:
+        for offset, cut, size in servers:
+            server = server_after(relay.last_event + offset, cut, size)
+            end = await relay.forward(Answered(head=HEAD, marks=None, channel=server))
+            last_event = expected_last_event(last_event, offset, cut)
+            assert relay.last_event == last_event
+            if end is StreamOutcome.complete:
                 break
-        return client, standing, end
+        return client, last_event, end
 
-    client, standing, end = asyncio.run(run())
-    assert client.got == b''.join(event(number) for number in range(seen + 1, standing + 1))
+    client, last_event, end = asyncio.run(run())
+    assert client.received == b''.join(
+        event(number) for number in range(first_seen + 1, last_event + 1)
+    )
     assert client.starts == 1
-    if end is StreamEnd.whole:
-        assert standing == LAST
+    if end is StreamOutcome.complete:
+        assert last_event == LAST_EVENT
--- a/tests/test_gateway/test_stages/test_stages_batching.py
+++ b/tests/test_gateway/test_stages/test_stages_batching.py
@@ -8,6 +8,7 @@
 
 from ringseam.backends import BackendId, BackendReport
 from ringseam.gateway.following.health import HealthBook
+from ringseam.gateway.priorities import Precedence
 from ringseam.gateway.stages.batching import (
     FULL_BACKOFF_S,
     Batcher,
@@ -15,7 +16,6 @@
 from ringseam.gateway.stages.capacity import UNKNOWN_USAGE_S
 from ringseam.gateway.stages.jobs import PieceJob, StageCall
 from ringseam.gateway.stages.order import dispatch_class_of, dispatch_order
-from ringseam.gateway.worth import Precedence
 from ringseam.routes import BatchSpec, ServiceName
 
 SERVICE = ServiceName('crops')
--- a/tests/test_gateway/test_stages/test_stages_client.py
+++ b/tests/test_gateway/test_stages/test_stages_client.py
@@ -9,9 +9,9 @@
 
 from ringseam.clock import PausedClock
 from ringseam.errors import UnreachableError
+from ringseam.gateway.priorities import Precedence
 from ringseam.gateway.stages.client import PieceClient, ReportedWaits
 from ringseam.gateway.stages.messages import WAITS, Waits, WaitsReply
-from ringseam.gateway.worth import Precedence
 from ringseam.routes import ServiceName
 
 CROPS = ServiceName('crops')
--- a/tests/test_gateway/test_stages/test_stages_graph.py
+++ b/tests/test_gateway/test_stages/test_stages_graph.py
@@ -11,8 +11,8 @@
 
 from ringseam.clock import PausedClock
 from ringseam.contents import ContentId
+from ringseam.gateway.priorities import Precedence
 from ringseam.gateway.stages.graph import StageRun
-from ringseam.gateway.worth import Precedence
 from ringseam.platform.stages import PieceFault, PieceResult
 from ringseam.quarantinemessages import Suspect
 from ringseam.routes import BackendService, BatchSpec, RouteStage, RouteTable, ServiceName
@@ -79,10 +79,10 @@
     work = SimpleNamespace(
         route=SimpleNamespace(stages=tuple(stages)),
         request=request,
-        goal=10,
+        scheduling_deadline=10,
         deadline=20,
         precedence=Precedence(rank=1),
-        zones=None,
+        allowed_zones=None,
         suspect=Suspect(content=ContentId('c1')),
         trial_at=None,
     )
--- a/tests/test_gateway/test_stages/test_stages_scheduler.py
+++ b/tests/test_gateway/test_stages/test_stages_scheduler.py
@@ -14,12 +14,12 @@
 from tests.gateways import (
     LocalGateway,
     ScriptedServer,
-    answer,
-    events_of,
-    full,
+    event_ids,
+    http_response,
     manifest,
+    refuse_full,
     reset,
-    streaming,
+    stream_script,
 )
 
 
@@ -29,7 +29,7 @@
     async def script(asked, writer):
         if 'stage-free' in asked.lines[0]:
             calls.append(('free', json.loads(asked.body)['handles']))
-            writer.write(answer(asked, b'{}'))
+            writer.write(http_response(asked, b'{}'))
             return
         items = json.loads(asked.body)['items']
         calls.append(('run', items))
@@ -39,7 +39,7 @@
         ]
         if fault_first and sum(1 for kind, _ in calls if kind == 'run') == 1:
             made[0] = {'why': fault_first}
-        writer.write(answer(asked, json.dumps({'items': made}).encode()))
+        writer.write(http_response(asked, json.dumps({'items': made}).encode()))
 
     return script, calls
 
@@ -49,16 +49,16 @@
     async def run():
         place = {}
         script, calls = piece_worker(lambda: place['crops'], fault_first=fault)
-        crops, engine = ScriptedServer(script), ScriptedServer(streaming(1, 3))
+        crops, engine = ScriptedServer(script), ScriptedServer(stream_script(1, 3))
         async with LocalGateway(key_file) as gateway:
             place['crops'] = await crops.start()
-            gateway.add(place['crops'], service='crops')
-            gateway.add(await engine.start())
-            found, raw = await gateway.ask('/staged/x', Pieces='3', Piece_Key='pk')
+            gateway.add_server(place['crops'], service='crops')
+            gateway.add_server(await engine.start())
+            found, raw = await gateway.fetch('/staged/x', Pieces='3', Piece_Key='pk')
             await asyncio.sleep(0.1)
         assert found == 200
-        assert events_of(raw) == [1, 2, 3]
-        inputs = engine.asked[0].header('Inputs').split(',')
+        assert event_ids(raw) == [1, 2, 3]
+        inputs = engine.requests[0].header('Inputs').split(',')
         assert [handle.split('/')[1] for handle in inputs] == ['r1-0-0', 'r1-0-1', 'r1-0-2']
         freed = [handle for kind, handles in calls if kind == 'free' for handle in handles]
         assert set(inputs) <= set(freed)
@@ -70,12 +70,14 @@
 
 def test_request_whose_stage_has_no_server_is_refused_within_its_time(key_file):
     async def run():
-        engine = ScriptedServer(streaming(1, 3))
+        engine = ScriptedServer(stream_script(1, 3))
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await engine.start())
-            found, _ = await gateway.ask('/staged/x', Pieces='1', Piece_Key='k', Deadline_Ms='300')
+            gateway.add_server(await engine.start())
+            found, _ = await gateway.fetch(
+                '/staged/x', Pieces='1', Piece_Key='k', Deadline_Ms='300'
+            )
         assert found == 503
-        assert not engine.asked
+        assert not engine.requests
 
     asyncio.run(run())
 
@@ -86,14 +88,16 @@
 
     async def run():
         script, calls = piece_worker(lambda: '')
-        crops, engine = ScriptedServer(script), ScriptedServer(streaming(1, 3))
+        crops, engine = ScriptedServer(script), ScriptedServer(stream_script(1, 3))
         silent = await asyncio.start_server(lambda reader, writer: None, '127.0.0.1', 0)
         address = f'127.0.0.1:{silent.sockets[0].getsockname()[1]}'
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await crops.start(), service='crops', name='worker')
-            gateway.add(await engine.start())
-            gateway.know_gateways(GatewayState(name='owner', address=address, zone='a'))
-            found, _ = await gateway.ask('/staged/x', Pieces='1', Piece_Key='k', Deadline_Ms='300')
+            gateway.add_server(await crops.start(), service='crops', name='worker')
+            gateway.add_server(await engine.start())
+            gateway.set_gateways(GatewayState(name='owner', address=address, zone='a'))
+            found, _ = await gateway.fetch(
+                '/staged/x', Pieces='1', Piece_Key='k', Deadline_Ms='300'
+            )
             standing = gateway.role.health.of(BackendId('worker'))
             assert found == 503
             assert not calls
@@ -107,7 +111,7 @@
     await asyncio.sleep(3)
 
 
-@pytest.mark.parametrize('first', [full, hanging])
+@pytest.mark.parametrize('first', [refuse_full, hanging])
 def test_server_of_pieces_is_not_ejected_for_one_call(key_file, first):
     """Seen on the bench: while gateways were replaced, two of them called the same
     servers and each took the others' work for failures; and links that lost packets
@@ -125,12 +129,12 @@
             else:
                 await script(asked, writer)
 
-        crops, engine = ScriptedServer(fail_once), ScriptedServer(streaming(1, 3))
+        crops, engine = ScriptedServer(fail_once), ScriptedServer(stream_script(1, 3))
         async with LocalGateway(key_file) as gateway:
             place['crops'] = await crops.start()
-            gateway.add(place['crops'], service='crops', name='worker')
-            gateway.add(await engine.start())
-            found, _ = await gateway.ask('/staged/x', Pieces='1', Piece_Key='k')
+            gateway.add_server(place['crops'], service='crops', name='worker')
+            gateway.add_server(await engine.start())
+            found, _ = await gateway.fetch('/staged/x', Pieces='1', Piece_Key='k')
             standing = gateway.role.health.of(BackendId('worker'))
         assert found == 200
         assert failed
@@ -139,7 +143,9 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize(('first', 'silent'), [(hanging, True), (reset, False), (full, False)])
+@pytest.mark.parametrize(
+    ('first', 'silent'), [(hanging, True), (reset, False), (refuse_full, False)]
+)
 def test_server_is_silent_from_a_call_without_an_answer_to_its_next_answer(key_file, first, silent):
     async def run():
         place = {}
@@ -154,12 +160,12 @@
             else:
                 await script(asked, writer)
 
-        crops, engine = ScriptedServer(fail_once), ScriptedServer(streaming(1, 3))
+        crops, engine = ScriptedServer(fail_once), ScriptedServer(stream_script(1, 3))
         async with LocalGateway(key_file) as gateway:
             place['crops'] = await crops.start()
-            gateway.add(place['crops'], service='crops', name='worker')
-            gateway.add(await engine.start())
-            found, _ = await gateway.ask('/staged/x', Pieces='1', Piece_Key='k')
+            gateway.add_server(place['crops'], service='crops', name='worker')
+            gateway.add_server(await engine.start())
+            found, _ = await gateway.fetch('/staged/x', Pieces='1', Piece_Key='k')
             seen.append(gateway.role.health.of(BackendId('worker')).silent)
         assert found == 200
         assert seen == [False, silent, False]
@@ -174,19 +180,19 @@
         silent = await asyncio.start_server(lambda reader, writer: None, '127.0.0.1', 0)
         address = f'127.0.0.1:{silent.sockets[0].getsockname()[1]}'
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await crops.start(), service='crops', name='worker')
-            gateway.know_gateways(GatewayState(name='owner', address=address, zone='a'))
+            gateway.add_server(await crops.start(), service='crops', name='worker')
+            gateway.set_gateways(GatewayState(name='owner', address=address, zone='a'))
             asked = asyncio.ensure_future(
-                gateway.ask('/staged/x', Pieces='1', Piece_Key='k', Deadline_Ms='2000'),
+                gateway.fetch('/staged/x', Pieces='1', Piece_Key='k', Deadline_Ms='2000'),
             )
             await asyncio.sleep(0.2)
             leaving = GatewayState(name='owner', address=address, zone='a', draining=True)
-            gateway.know_gateways(leaving)
-            gateway.role.works.refresh()
+            gateway.set_gateways(leaving)
+            gateway.role.piece_scheduler.refresh()
             await asyncio.sleep(0.3)
             assert not calls
-            gateway.know_gateways()
-            gateway.role.works.refresh()
+            gateway.set_gateways()
+            gateway.role.piece_scheduler.refresh()
             await asyncio.sleep(0.3)
             assert calls
             asked.cancel()
@@ -201,16 +207,18 @@
 
     async def run():
         script, calls = piece_worker(lambda: '')
-        crops, engine = ScriptedServer(script), ScriptedServer(streaming(1, 3))
+        crops, engine = ScriptedServer(script), ScriptedServer(stream_script(1, 3))
         silent = await asyncio.start_server(lambda reader, writer: None, '127.0.0.1', 0)
         address = f'127.0.0.1:{silent.sockets[0].getsockname()[1]}'
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await crops.start(), service='crops', name='worker')
-            gateway.add(await engine.start())
-            gateway.know_gateways(GatewayState(name='owner', address=address, zone='a'))
-            found, _ = await gateway.ask('/sticky/x', Prompt_Prefix='a:100', Token_Counts='100,9')
+            gateway.add_server(await crops.start(), service='crops', name='worker')
+            gateway.add_server(await engine.start())
+            gateway.set_gateways(GatewayState(name='owner', address=address, zone='a'))
+            found, _ = await gateway.fetch('/sticky/x', Prompt_Prefix='a:100', Token_Counts='100,9')
             assert found == 200
-            found, _ = await gateway.ask('/staged/x', Pieces='1', Piece_Key='k', Deadline_Ms='300')
+            found, _ = await gateway.fetch(
+                '/staged/x', Pieces='1', Piece_Key='k', Deadline_Ms='300'
+            )
             assert found == 503
             assert not calls
         silent.close()
@@ -229,7 +237,7 @@
         async def crops(asked, writer):
             if 'stage-free' in asked.lines[0]:
                 freed.extend(json.loads(asked.body)['handles'])
-                writer.write(answer(asked, b'{}'))
+                writer.write(http_response(asked, b'{}'))
                 return
             items = json.loads(asked.body)['items']
             made = [{'handle': f'{place["crops"]}/{item["id"]}-{item["stage"]}'} for item in items]
@@ -238,16 +246,16 @@
                 calls.append(set(items[0]['inputs']) & set(freed))
                 if len(calls) == 1:
                     made = [{'why': 'room'} for _ in items]
-            writer.write(answer(asked, json.dumps({'items': made}).encode()))
+            writer.write(http_response(asked, json.dumps({'items': made}).encode()))
 
         calls: list[set[str]] = []
-        worker, engine = ScriptedServer(crops), ScriptedServer(streaming(1, 3))
+        worker, engine = ScriptedServer(crops), ScriptedServer(stream_script(1, 3))
         async with LocalGateway(key_file) as gateway:
-            gateway.apply(manifest(version=2, routes=[two_stages(size=920_000)]))
+            gateway.apply_document(manifest(version=2, routes=[two_stages(size=920_000)]))
             place['crops'] = await worker.start()
-            gateway.add(place['crops'], service='crops', name='worker')
-            gateway.add(await engine.start())
-            found, _ = await gateway.ask('/staged/x', Pieces='1,1', Piece_Key='k')
+            gateway.add_server(place['crops'], service='crops', name='worker')
+            gateway.add_server(await engine.start())
+            found, _ = await gateway.fetch('/staged/x', Pieces='1,1', Piece_Key='k')
         assert found == 200
         assert calls == [set(), set()]
 
@@ -266,25 +274,25 @@
         async def crops(asked, writer):
             if 'stage-free' in asked.lines[0]:
                 freed.extend(json.loads(asked.body)['handles'])
-                writer.write(answer(asked, b'{}'))
+                writer.write(http_response(asked, b'{}'))
                 return
             items = json.loads(asked.body)['items']
             if items[0]['stage'] == 1:
                 await asyncio.sleep(0.3)
                 seen.append(not freed)
             made = [{'handle': f'{place["crops"]}/{item["id"]}-{item["stage"]}'} for item in items]
-            writer.write(answer(asked, json.dumps({'items': made}).encode()))
+            writer.write(http_response(asked, json.dumps({'items': made}).encode()))
 
-        worker, engine = ScriptedServer(crops), ScriptedServer(streaming(1, 3))
+        worker, engine = ScriptedServer(crops), ScriptedServer(stream_script(1, 3))
         async with LocalGateway(key_file) as gateway:
-            gateway.apply(manifest(version=2, routes=[two_stages(size=100)]))
+            gateway.apply_document(manifest(version=2, routes=[two_stages(size=100)]))
             place['crops'] = await worker.start()
-            gateway.add(place['crops'], service='crops', name='worker')
-            gateway.add(await engine.start())
+            gateway.add_server(place['crops'], service='crops', name='worker')
+            gateway.add_server(await engine.start())
             other = GatewayState(name=stopping, address='127.0.0.1:1', zone='a', draining=True)
-            gateway.know_gateways(*([other] if stopping else []))
+            gateway.set_gateways(*([other] if stopping else []))
             gateway.role.ownership.sole_since['crops'] = float('-inf')
-            found, _ = await gateway.ask('/staged/x', Pieces='1,1', Piece_Key='k')
+            found, _ = await gateway.fetch('/staged/x', Pieces='1,1', Piece_Key='k')
         assert found == 200
         assert seen == [kept]
 
@@ -307,13 +315,15 @@
                     again.set()
                     await go_on.wait()
             made = [{'handle': f'{place["crops"]}/{len(runs)}'} for _ in items]
-            writer.write(answer(asked, json.dumps({'items': made}).encode()))
+            writer.write(http_response(asked, json.dumps({'items': made}).encode()))
 
         def engine(name):
             async def script(asked, writer):
                 asked_names.append(name)
                 first = len(asked_names) == 1
-                await streaming(1 if first else 2, 1 if first else 3, end=not first)(asked, writer)
+                await stream_script(1 if first else 2, 1 if first else 3, end=not first)(
+                    asked, writer
+                )
                 if first:
                     reset(writer)
 
@@ -323,17 +333,17 @@
         async with LocalGateway(key_file) as gateway:
             route = {**two_stages(size=100), 'resumable': True, 'max_attempts': 2}
             route['stages'] = route['stages'][:1]
-            gateway.apply(manifest(version=2, routes=[route]))
+            gateway.apply_document(manifest(version=2, routes=[route]))
             place['crops'] = await worker.start()
-            gateway.add(place['crops'], service='crops', name='worker')
+            gateway.add_server(place['crops'], service='crops', name='worker')
             addresses = {name: await engine(name).start() for name in ('a', 'b', 'c')}
             for name in ('a', 'b'):
-                gateway.add(addresses[name], name=name)
-            answered = asyncio.ensure_future(gateway.ask('/staged/x', Pieces='1', Piece_Key='k'))
+                gateway.add_server(addresses[name], name=name)
+            answered = asyncio.ensure_future(gateway.fetch('/staged/x', Pieces='1', Piece_Key='k'))
             await again.wait()
             leaving = 'b' if asked_names == ['a'] else 'a'
             gateway.role.follower.view.remove_for_good(BackendId(leaving))
-            gateway.add(addresses['c'], name='c')
+            gateway.add_server(addresses['c'], name='c')
             go_on.set()
             found, _ = await answered
         assert found == 200
@@ -365,20 +375,20 @@
     their clients have 3 s and more to ask elsewhere."""
 
     async def run():
-        engine = ScriptedServer(streaming(1, 3))
+        engine = ScriptedServer(stream_script(1, 3))
         async with LocalGateway(key_file) as gateway:
-            gateway.add(await engine.start())
+            gateway.add_server(await engine.start())
             gateway.role.settings.own['grace_s'] = 4.5
-            gateway.apply(manifest_with_time(20_000))
+            gateway.apply_document(manifest_with_time(20_000))
             asked = asyncio.create_task(
-                gateway.ask('/staged/x', Pieces='1', Piece_Key='pk', Deadline_Ms='20000')
+                gateway.fetch('/staged/x', Pieces='1', Piece_Key='pk', Deadline_Ms='20000')
             )
             await asyncio.sleep(0.1)
             await gateway.role.drain()
             found, raw = await asked
         assert found == 503
         assert b'Retry-After: ' in raw
-        assert not engine.asked
+        assert not engine.requests
 
     asyncio.run(run())
 
--- a/tests/test_system/test_system_platform.py
+++ b/tests/test_system/test_system_platform.py
@@ -15,7 +15,7 @@
 import pytest
 
 from ringseam.cmd.demogateway import GatewayDemo
-from tests.gateways import ScriptedServer, answer, manifest
+from tests.gateways import ScriptedServer, http_response, manifest
 
 pytestmark = pytest.mark.processes
 
@@ -156,7 +156,7 @@
 
 
 async def good(asked, writer):
-    writer.write(answer(asked))
+    writer.write(http_response(asked))
 
 
 def test_whole_path_from_the_first_document_to_a_leave(platform):
@@ -168,13 +168,13 @@
         await platform.beat(address, 1)
         await platform.until(200, 'ready', 'GET', '/api/ready')
         assert await platform.ask() == (200, b'ok')
-        assert server.asked[0].header('Expect-Instance') == 'i-1'
+        assert server.requests[0].header('Expect-Instance') == 'i-1'
         await platform.beat(address, 2, 'draining')
         # The acknowledgement says that the gateway knows: no wait is needed.
         assert (await platform.ask('r2'))[0] == 503
         await platform.beat(address, 1, 'ready')
         assert (await platform.ask('r3'))[0] == 503
-        assert len(server.asked) == 1
+        assert len(server.requests) == 1
 
     asyncio.run(run())
 
@@ -266,7 +266,7 @@
         await platform.beat(address, 1, born=9)
         await platform.beat(address, 902, 'draining', born=7)
         assert await platform.ask('r2') == (200, b'ok')
-        assert server.asked[0].header('Expect-Instance') == 'i-1'
+        assert server.requests[0].header('Expect-Instance') == 'i-1'
         platform.running['control'].kill()
         platform.running['control'].wait()
         platform.start('control')
@@ -281,7 +281,7 @@
     async def run():
         async def slow(asked, writer):
             await asyncio.sleep(1.5)
-            writer.write(answer(asked))
+            writer.write(http_response(asked))
 
         server = ScriptedServer(slow)
         address = await server.start()
@@ -289,7 +289,7 @@
         await platform.beat(address, 1)
         await platform.until(200, 'ready', 'GET', '/api/ready')
         asked = asyncio.ensure_future(platform.ask())
-        while not server.asked:
+        while not server.requests:
             await asyncio.sleep(0.01)
         platform.running['gateway'].send_signal(signal.SIGTERM)
         await asyncio.sleep(0.1)
--- a/tests/test_system/test_system_suspended.py
+++ b/tests/test_system/test_system_suspended.py
@@ -12,7 +12,7 @@
 from ringseam.role import Role
 from ringseam.routes import ServiceName
 from ringseam.settings import read_settings
-from tests.gateways import LocalGateway, ScriptedServer, answer, reset
+from tests.gateways import LocalGateway, ScriptedServer, http_response, reset
 from tests.suspension import Suspension
 
 ROLES = ('control', 'entry', 'gateway', 'agent', 'standin')
@@ -69,16 +69,16 @@
 
     async def serve(asked, writer):
         handed.append(int(asked.header('Deadline-Ms')))
-        writer.write(answer(asked))
+        writer.write(http_response(asked))
 
     async def ask():
         async with LocalGateway(key_file) as gateway:
             for number, script in enumerate((break_off, serve)):
-                gateway.add(await ScriptedServer(script).start(), name=f's{number}')
+                gateway.add_server(await ScriptedServer(script).start(), name=f's{number}')
             first = [gateway.role.follower.view.backends[BackendId('s0')]]
             later = [gateway.role.follower.view.backends[BackendId('s1')]]
             gateway.role.follower.serving = lambda *_: later if handed else first
-            return await gateway.ask('/idem/x', read_s=60, Deadline_Ms='2500')
+            return await gateway.fetch('/idem/x', read_s=60, Deadline_Ms='2500')
 
     status, _ = run_loop(ask())
     assert (status, len(handed)) == (200, 2)
@@ -96,8 +96,8 @@
     async def ask():
         async with LocalGateway(key_file) as gateway:
             for number in range(2):
-                gateway.add(await ScriptedServer(break_off).start(), name=f's{number}')
-            return await gateway.ask('/idem/x', read_s=60, Deadline_Ms='2500')
+                gateway.add_server(await ScriptedServer(break_off).start(), name=f's{number}')
+            return await gateway.fetch('/idem/x', read_s=60, Deadline_Ms='2500')
 
     status, _ = run_loop(ask())
     assert (status, len(asked_again)) == (504, 1)
