--- a/ringseam/gateway/__init__.py
+++ b/ringseam/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: client requests from first byte to last, without agents."""
+"""The gateway: handles client requests end to end, without agents."""
--- a/ringseam/gateway/priorities.py
+++ b/ringseam/gateway/priorities.py
@@ -1,56 +1,60 @@
-"""Who goes first, and what an answer is worth."""
+"""Ranks of requests, and the value of a response by priority and lateness."""
 
 from __future__ import annotations
 
 import msgspec
 
-#: Each step of priority is worth this much less.
+#: Ratio between the values of responses of one priority and the priority before it.
 VALUE_RATIO = 0.25
-#: A late answer loses this share of its worth.
+#: Share of its value that a late response loses.
 LATE_VALUE_LOSS = 0.85
 
-#: Ranks of the requests of one client account; priorities of routes are below.
+#: Number of ranks per account priority; route priorities above are cut to the last.
 _RANKS_PER_ACCOUNT = 100
-#: Engines know ten urgencies: three of routes for each of three accounts'.
+#: Engines accept the urgencies 0 to 9: three per account priority, one per route priority.
 _ROUTE_URGENCIES = 3
 _LAST_URGENCY = 9
 
 
 class Precedence(msgspec.Struct, frozen=True, kw_only=True, order=True):
-    """What a request goes by among those that wait.
+    """Order of a request among waiting requests.
 
-    Clients that were turned away and came back go after all others: they are late
-    already, or have the time, and what they earn by being served is a part of
-    what another one loses by being late.
+    Retries of refused clients go after all first attempts: they are late already or
+    still have time, and serving them gains less than a late first attempt loses.
     """
 
+    #: Whether the request is a retry of a client that was refused.
+    #: Whether the request is a retry of a client that was refused.
     returned: bool = False
-    #: Who goes first, 0 before all; see :func:`rank_of`.
+    #: Rank by priority, 0 is first; see :func:`rank_of`.
     rank: int
 
 
 def rank_of(route: int, account: int | None) -> int:
     """Return the rank of a request; 0 is first.
 
-    A client account's priority goes first. Among accounts of equal priority,
-    which is the usual case, the route's decides.
+    Requests are ordered by account priority, then by route priority. Accounts
+    usually have equal priority, so the route decides.
+
+    :param route: priority of the route.
+    :param account: priority of the client account, if it has one.
     """
     first = route if account is None else account
     return first * _RANKS_PER_ACCOUNT + min(route, _RANKS_PER_ACCOUNT - 1)
 
 
 def route_priority(rank: int) -> int:
-    """Return the route's priority, which tells the worth of an answer."""
+    """Return the route priority in a rank, which determines the value of a response."""
     return rank % _RANKS_PER_ACCOUNT
 
 
 def engine_urgency(rank: int) -> int:
-    """Return a rank as engines take it, from 0, which is first, to 9."""
+    """Return the urgency that engines use for a rank: 0 (first) to 9."""
     route = min(rank % _RANKS_PER_ACCOUNT, _ROUTE_URGENCIES - 1)
     return min(_LAST_URGENCY, rank // _RANKS_PER_ACCOUNT * _ROUTE_URGENCIES + route)
 
 
 def response_value(priority: int, *, late: bool = False) -> float:
-    """Return the worth against one of the highest priority that is on time."""
+    """Return the value, relative to an on-time response of the highest priority."""
     whole = VALUE_RATIO**priority
     return whole * (1 - LATE_VALUE_LOSS) if late else whole
--- a/ringseam/gateway/requestcontext.py
+++ b/ringseam/gateway/requestcontext.py
@@ -1,4 +1,4 @@
-"""One request in work: its route, its time and how it ended."""
+"""The context of a request being served, and the outcomes of its tries."""
 
 from __future__ import annotations
 
@@ -19,99 +19,99 @@
 
 
 class LossCause(enum.Enum):
-    """Why an answer that may have been made is not there."""
+    """Why the response to a request that may have run is missing."""
 
     connection = 'connection'
     timeout = 'timeout'
     not_whole = 'not-whole'
     not_authentic = 'not-authentic'
     gap = 'gap'
-    #: The connection broke within the answer.
+    #: The connection broke in the middle of the response.
     broken = 'broken'
 
 
 @dataclass(kw_only=True)
 class RequestContext:
-    """A client's request under one version of the routes; times are absolute."""
+    """A client's request, served under one version of the route table; times are absolute."""
 
     exchange: Exchange
     request: ClientRequest
     route: Route
     service: ServiceName
     account: Account | None
-    #: What the request is, whatever its id.
+    #: A digest of what the client asks for, independent of the request's id.
     content_id: ContentId
     arrived: float
-    #: The client's time limit and the route's timeout, whichever is earlier.
+    #: The client's deadline or the route's timeout, whichever is earlier.
     deadline: float
-    #: The number of the route table that the request is served by.
+    #: Number of the route table that the request is served under.
     table_number: int = 0
     inputs: tuple[str, ...] = ()
-    #: Bytes of the inputs by availability zone.
+    #: Size of the inputs in bytes, by availability zone.
     input_bytes: dict[str, int] = field(default_factory=dict)
     tries: TryRecord = field(init=False)
-    #: The rank by which it goes, where that is not its own.
+    #: Rank after the fairness adjustment; None: the request's own rank.
     adjusted_rank: int | None = None
-    #: How long before this try its client asked for the first time, seconds.
+    #: Time since the client's first attempt, seconds; 0: this is the first.
     since_first_attempt_s: float = 0
-    #: Whether it was answered within its objective.
+    #: Whether the response met the route's latency objectives.
     on_time: bool = False
-    #: Availability zones in which it may run; None: all.
+    #: Availability zones in which the request may run; None: all.
     allowed_zones: frozenset[str] | None = None
-    #: Whether it was turned away for what it asks for, not for how its route is served.
+    #: Whether the request was rejected because of its content, not for lack of capacity.
     rejected_for_content: bool = False
-    #: When the only run of a suspected content was granted; None: not on trial.
+    #: When the trial run of a suspected content was granted; None: not a trial run.
     trial_at: float | None = None
-    #: After how long a server that names a limit or has asked for a pause may take it,
-    #: seconds; 0: it has found one, or there is none.
+    #: Time until a server that is rate-limited or paused may accept the request, seconds;
+    #: 0: a server was found, or there is none to wait for.
     available_in_s: float = 0
-    #: How long the stages took, seconds.
+    #: Time that the stages took, seconds.
     stages_duration_s: float = 0
-    #: How long stages and server were predicted to take, seconds.
+    #: Predicted time for the stages and the final server, seconds.
     predicted_duration_s: float = 0
 
     def __post_init__(self) -> None:
-        """Begin without a try."""
+        """Create an empty record of tries."""
         self.tries = TryRecord(
             repeatable=self.route.repeatable, max_servers=self.route.max_attempts
         )
 
     @property
     def suspect(self) -> Suspect:
-        """Return what is told of the request if its server ends."""
+        """Return what is reported of the request if its server crashes."""
         account = self.account.name if self.account else ''
         return Suspect(content=self.content_id, account=account)
 
     @property
     def objective_deadline(self) -> float:
-        """Return when an answer stops earning its full worth."""
+        """Return the time after which a response loses part of its value."""
         return self.arrived - self.since_first_attempt_s + self.route.objective_s
 
     @property
     def scheduling_deadline(self) -> float:
-        """Return until when it is worth being served before others wait.
+        """Return the deadline that scheduling aims for.
 
-        A client that was turned away and comes back is served within its limit:
-        to refuse it again, or to fail it, is worse than to be late.
+        A retry of a refused client is served up to its time limit: refusing it
+        again or failing it costs more than a late response.
         """
         return self.deadline if self.since_first_attempt_s else self.objective_deadline
 
     @property
     def precedence(self) -> Precedence:
-        """Return what it goes by among those that wait."""
+        """Return the position of the request among waiting requests."""
         rank = self.rank if self.adjusted_rank is None else self.adjusted_rank
         return Precedence(rank=rank, returned=self.since_first_attempt_s > 0)
 
     @property
     def rank(self) -> int:
-        """Return the rank among all requests by priorities; 0 is first."""
+        """Return the rank by account and route priority; 0 is first."""
         account = None if self.account is None else self.account.priority
         return rank_of(self.route.priority, account)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Answered:
-    """A backend server's authentic head; its body is still to be read."""
+    """An authentic response head of a backend server; the body is not read yet."""
 
     head: ResponseHead
     marks: AnswerMarks
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotRun:
-    """The request was certainly not run; ``reached`` a server that said so."""
+    """The request was not run; with ``refused_by_server``, a server has said so."""
 
     detail: str
     refused_by_server: bool = False
@@ -129,22 +129,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Lost:
-    """The request may have run, and there is no answer."""
+    """The request may have run, and there is no complete response."""
 
     cause: LossCause
     detail: str
 
     @property
     def is_connection_loss(self) -> bool:
-        """Return whether its connection broke, as it does when a server ends."""
+        """Return whether the connection broke, as it does when a server crashes."""
         return self.cause in {LossCause.connection, LossCause.broken}
 
 
 @dataclass(frozen=True, kw_only=True)
 class Quarantined:
-    """The request may not be sent any more: what it asks for ends servers."""
+    """The request must not be sent again: its content crashes servers."""
 
-    detail: str = 'its content ends servers'
+    detail: str = 'content crashes servers'
 
 
 TryOutcome = Union[Answered, NotRun, Lost, Quarantined]
--- a/ringseam/gateway/requests/__init__.py
+++ b/ringseam/gateway/requests/__init__.py
@@ -1,1 +1,1 @@
-"""A client's request from its first byte to its last."""
+"""Handling of client requests: admission, server selection, forwarding and responses."""
--- a/ringseam/gateway/requests/admission.py
+++ b/ringseam/gateway/requests/admission.py
@@ -1,4 +1,4 @@
-"""Whether a staged request is taken in or refused at once; a plain class."""
+"""Admission control for requests with stages."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 if TYPE_CHECKING:
     from ringseam.gateway.requestcontext import RequestContext
 
-#: What the last server of a staged request needs for its first event, seconds.
+#: Time that the final server of a staged request needs for its first event, seconds.
 FINAL_SERVER_S = 0.3
-#: A refused client comes back after this long at least, seconds.
+#: Minimum Retry-After of a refusal, seconds.
 _MIN_RETRY_AFTER_S = 0.3
-#: Refused clients come back spread over this long, seconds.
+#: Retries of refused clients are spread over this time, seconds.
 _RETRY_AFTER_JITTER_S = 1.0
-#: Clients honour a pause of up to this share of the time that they have left.
+#: Clients honour a Retry-After of up to this share of their remaining time.
 _MAX_RETRY_AFTER_SHARE = 1 / 3
-#: A client that has less than this share of the usual time has asked before.
+#: A request with less than this share of the typical time limit counts as a retry.
 _FIRST_ATTEMPT_SHARE = 0.97
-#: Clients come back once for each first try at most; where more than this share of
-#: the requests have less than the longest time, clients differ in their limits.
+#: A client retries at most once per first attempt. If more than this share of the
+#: requests have less than the longest time limit, the clients have different limits.
 _MAX_SHORTER_SHARE = 2 / 3
-#: The usual time of a route is forgotten in this time, seconds.
+#: The typical time limit of a route is discarded after this time, seconds.
 _TYPICAL_LIMIT_TTL_S = 30.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """Refused: the request would be late by far; come back after a pause."""
+    """A refused request: its predicted duration, and when to retry."""
 
     predicted_s: float
     retry_after_s: float
@@ -36,9 +36,9 @@
 
 @dataclass(kw_only=True)
 class TypicalTimeLimit:
-    """The longest time limit that clients of a route named lately.
+    """The longest time limit that clients of a route have set recently.
 
-    ``shorter`` of the ``asked`` requests since named less.
+    Of the ``requests`` counted since then, ``shorter_requests`` had a shorter limit.
     """
 
     limit_s: float
@@ -47,7 +47,7 @@
     shorter_requests: int = 0
 
     def is_outdated(self, left_s: float, now: float) -> bool:
-        """Return whether a request shows that clients now have another time."""
+        """Return whether the typical limit is too old, or ``left_s`` clearly exceeds it."""
         return (
             now - self.updated_at > _TYPICAL_LIMIT_TTL_S
             or _FIRST_ATTEMPT_SHARE * left_s > self.limit_s
@@ -55,17 +55,17 @@
 
     @property
     def identifies_retries(self) -> bool:
-        """Return whether less time shows that a client has asked before."""
+        """Return whether a shorter time limit identifies a retry."""
         return self.shorter_requests <= _MAX_SHORTER_SHARE * self.requests
 
 
 @dataclass(kw_only=True)
 class Admission:
-    """Refuse what would be late, but a client only once.
+    """Refuse requests that would be late, but each client only once.
 
-    A client that was refused and comes back has less time left than the others
-    of its route. It is taken in unless it has no chance at all: a second
-    refusal would leave it with nothing.
+    A retry of a refused client has less time left than the other requests of its
+    route. It is admitted unless it cannot finish within its time limit, as a second
+    refusal would leave the client without a response.
     """
 
     seed: str
@@ -73,14 +73,14 @@
     random: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        """Seed the spread of the pauses."""
-        self.random = random.Random(self.seed)  # noqa: S311 - spreads load only
+        """Seed the jitter."""
+        self.random = random.Random(self.seed)  # noqa: S311 - jitter only
 
     def since_first_attempt_s(self, route: str, left_s: float | None, now: float) -> float:
-        """Return how long ago a client asked first, and learn from it; 0: just now.
+        """Return the time since a client's first attempt, and update the typical limit.
 
-        Clients of a route usually have the same time at first, so one that has less
-        has been turned away before.
+        The result is 0 for a first attempt. Clients of a route usually start with the
+        same time limit, so a request with less time left is a retry after a refusal.
         """
         if left_s is None:
             return 0
@@ -98,14 +98,14 @@
         return typical.limit_s - left_s if typical.identifies_retries else 0
 
     def retry_after_s(self, predicted_s: float, left_s: float) -> float:
-        """Return when a refused client should come back, spread over a while."""
+        """Return the Retry-After of a refusal, with jitter."""
         pause = _MIN_RETRY_AFTER_S + predicted_s + self.random.random() * _RETRY_AFTER_JITTER_S
         return max(0, min(pause, left_s * _MAX_RETRY_AFTER_SHARE))
 
     def check(self, context: RequestContext, predicted_s: float, now: float) -> Refusal | None:
-        """Return a refusal when a request should not be begun.
+        """Return a refusal if a request should not be started, else None.
 
-        :param needed_s: predicted seconds until its first event.
+        :param predicted_s: predicted seconds until its first event.
         """
         left = context.deadline - now
         limit = left if context.since_first_attempt_s else context.objective_deadline - now
--- a/ringseam/gateway/requests/attempts.py
+++ b/ringseam/gateway/requests/attempts.py
@@ -1,4 +1,4 @@
-"""The sends of one request, until an answer is passed on or nothing more may go."""
+"""Sends a request to backend servers until a response is forwarded or no try is left."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 logger = logging.getLogger(__name__)
 
-#: Why a request is refused that some server would take later.
-SERVERS_LIMITED = 'all servers that are left have asked for a pause or have no turn left'
+#: Detail of a refusal when some server will accept the request later.
+SERVERS_LIMITED = 'all remaining servers are paused or have reached their rate limits'
 _BAD_REQUEST = 400
 _SERVER_ERROR = 500
 _MISDIRECTED = 421
-#: What an unfinished stream says of its server.
+#: Loss cause for each outcome of an incomplete stream.
 _LOSS_CAUSES = types.MappingProxyType(
     {
         StreamOutcome.deadline: LossCause.timeout,
@@ -46,8 +46,8 @@
 )
 
 
-class AttemptRunner:  # noqa: WPS214 - the steps from choice to answer
-    """Send requests to backend servers and pass their answers on."""
+class AttemptRunner:  # noqa: WPS214 - the steps from server selection to response
+    """Send requests to backend servers and forward the responses."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         responder: Responder,
         guard: Guard,
     ) -> None:
-        """Send through ``sender``."""
+        """Create an instance that sends through ``sender``."""
         self.clock = node.clock
         self.follower = follower
         self.sender = sender
@@ -77,7 +77,7 @@
         )
 
     async def run(self, context: RequestContext, stages: StageRun | None) -> None:
-        """Send until an answer is passed on, else give the final answer."""
+        """Send until a response is forwarded; else respond with the final status."""
         relay = StreamRelay(
             context=context, clock=self.clock, last_event=context.request.last_event
         )
@@ -89,7 +89,7 @@
             await self._send_final_response(context, tries.outcome, relay)
 
     async def choose(self, context: RequestContext) -> BackendReport | None:
-        """Return the server that is expected to answer first."""
+        """Return the server with the lowest expected latency."""
         if context.route.affinity:
             return await self.placements.choose(context)
         return await self.selector.choose(context)
@@ -100,7 +100,7 @@
         server: BackendReport,
         relay: StreamRelay,
     ) -> TryOutcome:
-        """Send once; an :class:`Answered` has been passed on whole."""
+        """Send once; the response of an :class:`Answered` has been forwarded completely."""
         standing = self.health.of(server.instance)
         standing.in_flight += 1
         self.responder.log(
@@ -120,7 +120,7 @@
         self._remove_replaced(server, outcome)
         self._log_connection_loss(context, server, outcome)
         self._log_refusal(context, server, outcome)
-        # An error may be given before anything is run.
+        # Only a success shows that the content ran: an error may precede the run.
         if isinstance(outcome, Answered) and outcome.head.status < _BAD_REQUEST:
             self.guard.answered(server, context.content_id)
         return outcome
@@ -141,7 +141,7 @@
         return outcome
 
     def _end_attempt(self, context: RequestContext, server: BackendReport) -> None:
-        """Hear that a request is no longer under way at a server."""
+        """Record that a request is no longer in progress on a server."""
         self.guard.ends.over(server, context.request.attempt_id)
         if context.route.affinity:
             self.sender.silence.ended(server.instance, context.request.attempt_id)
@@ -159,7 +159,7 @@
             )
 
     def _remove_replaced(self, server: BackendReport, outcome: TryOutcome) -> None:
-        """Forget a server whose address another one has: a late report named it."""
+        """Remove a server whose address now belongs to another one; its report is stale."""
         if isinstance(outcome, NotRun) and outcome.status == _MISDIRECTED:
             self.follower.view.remove(server.instance)
 
@@ -176,9 +176,10 @@
             )
 
     def _handle_first_event(self, context: RequestContext, stages: StageRun | None) -> None:
-        """Hear that the first event has come: the server has its inputs.
+        """Release inputs and the trial on the first event: the server has its inputs.
 
-        A content that ends servers does so as it begins; another suspect may be tried.
+        A content that crashes servers does so at the start of its run, so another
+        suspect may be tried now.
         """
         if stages is not None:
             stages.release()
@@ -270,7 +271,7 @@
         return Lost(cause=cause, detail=f'{server.address}: stream {end.value}')
 
     def _can_retry_elsewhere(self, context: RequestContext) -> bool:
-        """Return whether a failed request may be sent to another server."""
+        """Return whether a failed request may be retried on another server."""
         if not context.tries.may_repeat:
             return False
         return self.selector.has_alternative(context)
@@ -285,7 +286,7 @@
         outcome: TryOutcome | None,
         relay: StreamRelay,
     ) -> None:
-        """Give the final answer at once."""
+        """Respond with the final status."""
         detail = '' if outcome is None or isinstance(outcome, Answered) else outcome.detail
         if relay.started:
             self.responder.abort(context, detail)
@@ -298,7 +299,7 @@
             await self._refuse(context, detail)
 
     async def _refuse(self, context: RequestContext, detail: str) -> None:
-        """Say that nothing has run, and when a server may take it."""
+        """Refuse the request as not run, with the time until a server may accept it."""
         left_s = max(0, context.deadline - self.clock.now())
         await self.responder.refuse(
             context.exchange,
--- a/ringseam/gateway/requests/balancing.py
+++ b/ringseam/gateway/requests/balancing.py
@@ -1,4 +1,4 @@
-"""Choice of a backend server: a scored minimum over what is known of each."""
+"""Load balancing policies: each picks the backend server of lowest cost."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
     from ringseam.gateway.following.health import HealthBook, Standing
 
 _NO_WAITS: Mapping[BackendId, float] = types.MappingProxyType({})
-#: A request in another availability zone costs this, seconds: the way there
-#: and back, and the price of its bytes.
+#: Cost of sending to another availability zone, seconds: the round trip and the
+#: price of the traffic.
 _CROSS_ZONE_COST_S = 0.004
-#: A request takes this long where nothing was measured, seconds.
+#: Assumed latency of a server without measurements, seconds.
 _DEFAULT_LATENCY_S = 0.02
-#: What a server has told of its load is believed for this long, seconds.
+#: A load that a server has reported is used for this time, seconds.
 _REPORTED_LOAD_TTL_S = 2.0
-#: What an ejected server costs, seconds: it is taken only when all are.
+#: Cost of an ejected server, seconds: it is chosen only if all are ejected.
 _EJECTED_COST_S = 1000.0
-#: Between servers of equal cost the less loaded one is taken, seconds.
+#: Cost per request in progress, seconds: prefers the less loaded of two equal servers.
 _COST_PER_REQUEST_S = 1e-4
 
 
 class BalancingPolicy(abc.ABC):
-    """Choose one of the servers that may serve a request."""
+    """Base class of policies that choose a server for a request."""
 
     def __init__(self, *, health: HealthBook, zone: str) -> None:
-        """Judge servers by ``health``, as seen from ``zone``."""
+        """Create a policy that uses ``health``, for a gateway in ``zone``."""
         self.health = health
         self.zone = zone
 
@@ -40,9 +40,9 @@
         now: float,
         waits: Mapping[BackendId, float] = _NO_WAITS,
     ) -> BackendReport | None:
-        """Return the best of ``servers``, or None when there is none.
+        """Return the server of lowest cost, or None if ``servers`` is empty.
 
-        :param waits: how long a request has to wait for some of them, seconds.
+        :param waits: additional waiting time by server, seconds.
         """
         if not servers:
             return None
@@ -54,14 +54,14 @@
 
     @abc.abstractmethod
     def cost(self, server: BackendReport, now: float) -> float:
-        """Return the expected seconds until an answer."""
+        """Return the expected time until a response, seconds."""
 
 
 class LatencyPolicy(BalancingPolicy):
-    """For services whose requests are short and alike: measured latency."""
+    """Choose by measured latency, for services with short and similar requests."""
 
     def cost(self, server: BackendReport, now: float) -> float:
-        """Return the measured latency, stretched by the load."""
+        """Return the measured latency, scaled by the load."""
         standing = self.health.of(server.instance)
         load = max(standing.in_flight, _reported_load(standing, now))
         overload = max(0, load + 1 - server.slots / 2) / server.slots
@@ -76,10 +76,10 @@
 
 
 class LocalZonePolicy(BalancingPolicy):
-    """The naive choice, for comparison: the first server of the own zone."""
+    """Choose the first server of the local zone; a baseline for comparison."""
 
     def cost(self, server: BackendReport, now: float) -> float:
-        """Return whether the server is in another zone."""
+        """Return 1 for a server in another zone, else 0."""
         return float(server.zone != self.zone)
 
 
--- a/ringseam/gateway/requests/directtries.py
+++ b/ringseam/gateway/requests/directtries.py
@@ -1,4 +1,4 @@
-"""The tries of one request at backend servers that a gateway calls directly."""
+"""The tries of a request on backend servers that a gateway calls directly."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class DirectTries(TryLoop['BackendReport']):
-    """Send a request to one backend server after another, with what its stages made."""
+    """Send a request to one backend server after another, with the results of its stages."""
 
     def __init__(
         self,
@@ -30,19 +30,19 @@
         stages: StageRun | None,
         relay: StreamRelay,
     ) -> None:
-        """Send by ``attempts``; answers are passed on through ``relay``."""
+        """Send through ``attempts`` and forward streams through ``relay``."""
         super().__init__(record=context.tries)
         self.runner = runner
         self.context = context
         self.stages = stages
         self.relay = relay
-        #: How the last try went; None when no stages could be had for one.
+        #: Outcome of the last try; NotRun if there was none.
         self.outcome: TryOutcome | None = NotRun(detail='no server')
 
     async def choose(self) -> BackendReport | None:
-        """Return the next server, once the stages have made its inputs.
+        """Return the next server, after the stages have produced the inputs.
 
-        Stages that must run again take seconds, so the server is chosen after them.
+        Stages that must run again take seconds, so the server is chosen afterwards.
         """
         if not await self._has_inputs():
             return None
@@ -54,11 +54,11 @@
         return server
 
     def incarnation_of(self, server: BackendReport) -> str:
-        """Return the server's incarnation."""
+        """Return the identifier of the server's current run."""
         return server.instance
 
     async def send(self, server: BackendReport) -> TryResult:
-        """Send once and pass the answer on, if there is one."""
+        """Send once and forward the response, if there is one."""
         self.outcome = await self._send_with_inputs(server)
         if isinstance(self.outcome, Answered):
             return TryResult.final
@@ -67,17 +67,19 @@
         return TryResult.lost
 
     def take_retry(self) -> bool:
-        """Take a retry from the budget of the service."""
+        """Draw a retry from the service's retry budget."""
         retry = Retry(service=self.context.service, now=self.runner.clock.now())
         return self.runner.retries.may_retry(retry)
 
     async def _is_admitted(self) -> bool:
-        """Return whether the content may be sent: a verdict may have fallen by now."""
+        """Return whether the content may be sent; it may have been quarantined meanwhile."""
         state = await self.runner.guard.admit(self.context)
         if state is TrialState.quarantined:
             self.outcome = Quarantined()
         elif state is TrialState.busy:
-            self.outcome = NotRun(detail='its content is suspected, and another run is under way')
+            self.outcome = NotRun(
+                detail='content is suspected of crashing servers; a trial run is in progress'
+            )
         return state is TrialState.granted
 
     async def _has_inputs(self) -> bool:
@@ -89,8 +91,8 @@
         if self.stages is None:
             return await self.runner.send_once(self.context, server, self.relay)
         self.context.inputs = self.stages.inputs()
-        # By then the server has fetched what the stages have made. Where room is
-        # not scarce it stays until the first event, in case the server is lost.
+        # By then the server has fetched the stage results. Where memory is not scarce,
+        # they are kept until the first event, in case the server fails.
         loop = asyncio.get_running_loop()
         release_timer = loop.call_later(INPUT_FETCH_S, self.stages.release_contended)
         try:
--- a/ringseam/gateway/requests/fairness.py
+++ b/ringseam/gateway/requests/fairness.py
@@ -1,20 +1,20 @@
-"""Which routes are served so much less than others that they go before their rank."""
+"""Fairness between routes: raises the rank of underserved routes."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
 
-#: What ended longer ago than this counts for a third, seconds: long enough for a
-#: few dozen requests, short enough to act within a burst.
+#: Time constant of the exponential decay of counts, seconds: long enough to cover a
+#: few dozen requests, short enough to react within a burst.
 _DECAY_TIME_S = 10.0
-#: A route of which less than this is left to count is forgotten.
+#: A route is removed when its decayed count falls below this.
 _MIN_COUNT = 0.01
 
 
 @dataclass(kw_only=True)
 class RouteStats:
-    """How many requests of a route ended lately, and how many of them in time."""
+    """Decayed counts of a route's completed and on-time requests."""
 
     service: str
     rank: int
@@ -23,7 +23,7 @@
     updated_at: float = 0
 
     def decay(self, now: float) -> None:
-        """Let what is older weigh less."""
+        """Decay the counts to the current time."""
         factor = math.exp(-(now - self.updated_at) / _DECAY_TIME_S)
         self.completed *= factor
         self.on_time *= factor
@@ -32,20 +32,19 @@
 
 @dataclass(kw_only=True)
 class Fairness:
-    """Let no route be starved by those of its service that go before it.
+    """Prevent routes from being starved by higher-ranked routes of their service.
 
-    Strict ranks give the last one what the others leave, which is nothing for as
-    long as a service is short of servers. A route whose share in time is below
-    ``least`` of the share of the routes before it shares the turn of the next one
-    before it, until it has caught up.
+    With strict ranks, the lowest-ranked route gets nothing while a service has too
+    few servers. A route whose on-time ratio is below ``min_ratio`` times that of the
+    higher-ranked routes gets the rank of the next one, until it has caught up.
     """
 
     min_ratio: float
-    #: Shares by route, of those that were asked for lately.
+    #: Counts by route, for routes with recent requests.
     routes: dict[str, RouteStats] = field(default_factory=dict)
 
     def record(self, route: str, service: str, rank: int, now: float, *, on_time: bool) -> None:
-        """Hear how a request ended."""
+        """Count a completed request."""
         stats = self.routes.setdefault(
             route, RouteStats(service=service, rank=rank, updated_at=now)
         )
@@ -56,7 +55,7 @@
         stats.on_time += on_time
 
     def effective_rank(self, route: str, service: str, rank: int, now: float) -> int:
-        """Return the rank by which the next request of a route shall go."""
+        """Return the rank for the next request of a route."""
         stats = self.routes.get(route)
         higher = self._ranked_before(service, rank, now)
         if stats is None or not higher:
@@ -68,7 +67,7 @@
         return max(other.rank for other in higher)
 
     def _ranked_before(self, service: str, rank: int, now: float) -> list[RouteStats]:
-        """Return the routes of a service that go before ``rank`` and were asked lately."""
+        """Return the recently used routes of a service that rank before ``rank``."""
         higher = []
         for route, ratio in list(self.routes.items()):
             ratio.decay(now)
--- a/ringseam/gateway/requests/forwarding.py
+++ b/ringseam/gateway/requests/forwarding.py
@@ -1,4 +1,4 @@
-"""A client's request from its first byte to its answer."""
+"""Serving of client requests: routing, admission, stages and forwarding."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
     from ringseam.routes import Account, Route, ServiceName
     from ringseam.web.server import Exchange
 
-#: A gateway that still has no routes has them after this long, seconds: an election
-#: takes less, unless the first one fails.
+#: Retry-After while a gateway has no routes, seconds: an election takes less time,
+#: unless the first one fails.
 _NO_ROUTES_RETRY_AFTER_S = 0.6
-#: A request waits for the first routes for this share of the time that its
-#: client gives it, and for this long at most, seconds. Objectives are a sixth to
-#: a half of such limits, so it can still be in time afterwards.
+#: A request waits for the first routes for this share of its client's time limit,
+#: and for ``_MAX_ROUTES_WAIT_S`` at most. Objectives are a sixth to a half of the time
+#: limits, so the request can still be on time afterwards.
 _ROUTES_WAIT_SHARE = 1 / 16
 _MAX_ROUTES_WAIT_S = 0.6
-#: No route is served in time less often than this share of those before it.
+#: Minimum on-time ratio of a route, relative to the higher-ranked routes.
 _MIN_ON_TIME_RATIO = 0.7
-#: A prompt with this many shared tokens is served where they are kept; fewer
-#: are read in under 50 ms.
+#: Prompts with at least this many shared tokens are sent to the engine that caches
+#: them; fewer tokens are processed in under 50 ms.
 _LONG_PREFIX_TOKENS = 1500
 
 
 class Forwarder:
-    """Serve clients by the routes and servers that the follower holds."""
+    """Serve clients with the routes and servers that the follower knows."""
 
     def __init__(
         self,
@@ -57,21 +57,21 @@
         attempts: AttemptRunner,
         responder: Responder,
     ) -> None:
-        """Forward by ``attempts``, after stages by ``pieces``."""
+        """Create a forwarder that runs stages by ``pieces`` and sends by ``attempts``."""
         self.node = node
         self.clock = node.clock
         self.follower = follower
         self.pieces = pieces
         self.attempts = attempts
         self.responder = responder
-        #: Set when this process stops and what is in stages can't be finished.
+        #: Set when this process stops and running stages can't be finished.
         self.shutting_down = asyncio.Event()
         self.admission = Admission(seed=node.incarnation)
         self.fairness = Fairness(min_ratio=_MIN_ON_TIME_RATIO)
-        self.random = random.Random(node.incarnation)  # noqa: S311 - spreads load only
+        self.random = random.Random(node.incarnation)  # noqa: S311 - weighted routing only
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer one client request."""
+        """Serve one client request."""
         request = decode_request(exchange.request)
         self.responder.count_forged_headers(exchange.request.headers)
         await self._await_routes(request)
@@ -80,7 +80,7 @@
             await self.responder.refuse(
                 exchange,
                 request,
-                'no routes yet',
+                'no routes received yet',
                 retry_after_s=_NO_ROUTES_RETRY_AFTER_S,
             )
             return
@@ -108,14 +108,14 @@
             self._record_fairness(context)
 
     def abort_stages(self) -> None:
-        """Refuse what is still in stages: this process stops, another has the time."""
+        """Refuse requests that still run stages, as this process stops; they can be retried."""
         self.shutting_down.set()
 
     def _record_fairness(self, context: RequestContext) -> None:
-        """Count whether a client was served in time.
+        """Count whether a client was served on time.
 
-        Later tries of a client don't count, nor does a content that is turned away: its
-        client would raise the rank of all others that ask for the route.
+        Retries don't count, nor do requests rejected for their content: such a client
+        would raise the rank of all other requests of the route.
         """
         if not context.since_first_attempt_s and not context.rejected_for_content:
             self.fairness.record(
@@ -127,7 +127,7 @@
             )
 
     async def _await_routes(self, request: ClientRequest) -> None:
-        """Let a request wait a little for the first routes of this process."""
+        """Wait briefly for the first routes after the start of this process."""
         if self.follower.table.number:
             return
         limit_s = _MAX_ROUTES_WAIT_S
@@ -185,7 +185,7 @@
             self.attempts.guard.conclude(context)
 
     async def _is_admitted(self, context: RequestContext) -> bool:
-        """Answer a request at once whose content ends servers, or may do so."""
+        """Respond to a request whose content crashes servers or is on trial; else return True."""
         state = await self.attempts.guard.admit(context)
         if state is TrialState.quarantined:
             await self.responder.reject_content(context)
@@ -194,7 +194,7 @@
             await self.responder.refuse(
                 context.exchange,
                 context.request,
-                'its content is suspected, and another run is under way',
+                'content is suspected of crashing servers; a trial run is in progress',
                 retry_after_s=SUSPECT_RETRY_AFTER_S,
                 route=context.route.name,
             )
@@ -206,7 +206,7 @@
             await self.responder.refuse(
                 context.exchange,
                 context.request,
-                'no server in the regions that its route and account allow',
+                'no server in the regions allowed by route and account',
                 route=context.route.name,
             )
             return
@@ -229,7 +229,7 @@
             stages.release()
 
     def _has_servers(self, context: RequestContext) -> bool:
-        """Return whether all services that a request needs have servers in its zones."""
+        """Return whether all services that a request needs have servers in its allowed zones."""
         if context.allowed_zones is None:
             return True
         counts = zip(context.request.pieces, context.route.stages, strict=False)
@@ -238,7 +238,7 @@
         return all(self.follower.serving(name, account, context.allowed_zones) for name in needed)
 
     async def _is_shed(self, context: RequestContext, stages: StageRun) -> bool:
-        """Refuse a request that would be late by far; it can come back."""
+        """Refuse a request that would be late; return whether it was refused."""
         if await self._is_rate_limited(context):
             return True
         await self.pieces.refresh_waits(stages.services())
@@ -249,14 +249,14 @@
         await self.responder.refuse(
             context.exchange,
             context.request,
-            f'stages and server would take {refusal.predicted_s:.2f} s',
+            f'predicted time for stages and server is {refusal.predicted_s:.2f} s',
             retry_after_s=refusal.retry_after_s,
             route=context.route.name,
         )
         return True
 
     async def _is_rate_limited(self, context: RequestContext) -> bool:
-        """Refuse a request before its stages where no server will take it soon."""
+        """Refuse a request before its stages if no final server will accept it soon."""
         placements = self.attempts.placements
         if not context.route.affinity or not placements.must_wait(context):
             return False
@@ -285,7 +285,7 @@
         await self.attempts.run(context, stages)
 
     async def _run_until_shutdown(self, stages: StageRun) -> StageFault | None:
-        """Run stages to their end, or until what is in them is handed back."""
+        """Run the stages until they end or this process shuts down."""
         running = asyncio.ensure_future(stages.run())
         leaving = asyncio.ensure_future(self.shutting_down.wait())
         try:
@@ -293,18 +293,18 @@
             return running.result() if running.done() else StageFault(fault=PieceFault.late)
         finally:
             leaving.cancel()
-            # Results are given up after this; until then a stage may begin to use them.
+            # Results are released after this; a stage may start to use them until then.
             await cancelled(running)
 
     async def _refuse_failed_stages(
         self, context: RequestContext, stages: StageRun, fault: StageFault
     ) -> None:
-        """Refuse what its stages can't be made for; it may come back."""
+        """Refuse a request whose stages failed; the client may retry."""
         if self.attempts.guard.is_quarantined(context.content_id):
             await self.responder.reject_content(context)
             return
         left_s = context.deadline - self.clock.now()
-        # Another process may have the time at once when this one only stops.
+        # If only this process stops, another one may serve the request at once.
         needed_s = 0 if self.shutting_down.is_set() else stages.predicted_s()
         await self.responder.refuse(
             context.exchange,
@@ -315,10 +315,10 @@
         )
 
     async def _preferred_zone(self, context: RequestContext) -> str:
-        """Return the availability zone of the last server, if that is fixed.
+        """Return the availability zone of the final server, if it is fixed; else ''.
 
-        A prompt whose shared parts are long goes where they are kept; others
-        go where their results are.
+        A prompt with long shared parts goes to the engine that caches them, others go
+        to the zone of their stage results.
         """
         shared = sum(part.tokens for part in context.request.prefix[:-1])
         if shared < _LONG_PREFIX_TOKENS:
--- a/ringseam/gateway/requests/relay.py
+++ b/ringseam/gateway/requests/relay.py
@@ -1,4 +1,4 @@
-"""Answers passed on to the client: whole bodies, and streams event by event."""
+"""Forwarding of responses to the client; streams are forwarded event by event."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 logger = logging.getLogger(__name__)
 
-#: A stream whose server is silent for this long is given up, seconds: clients
-#: leave after two seconds or more.
+#: A server's stream is abandoned after this time without data, seconds: clients
+#: disconnect after two seconds or more.
 STREAM_IDLE_TIMEOUT_S = 1.8
 _STREAM_TYPE = 'text/event-stream'
 
 
 class StreamOutcome(enum.Enum):
-    """How the events of one server ended."""
+    """How the stream of one server ended."""
 
     complete = 'whole'
     broken = 'broken'
@@ -39,12 +39,12 @@
 
 
 def is_stream(head: ResponseHead) -> bool:
-    """Return whether an answer is a series of events."""
+    """Return whether a response is an event stream."""
     return head.header('Content-Type').partition(';')[0].strip().lower() == _STREAM_TYPE
 
 
 def client_headers(head: ResponseHead) -> Headers:
-    """Return an answer's headers as the client gets them."""
+    """Return the headers of a response that are forwarded to the client."""
     return [
         (name, text)
         for name, text in end_to_end(head.headers)
@@ -54,11 +54,11 @@
 
 @dataclass(kw_only=True)
 class StreamRelay:
-    """Pass events on in order; one per client request, over all servers."""
+    """Forward events in order; one relay serves all tries of a client request."""
 
     context: RequestContext
     clock: Clock
-    #: Number of the last event that was passed on; the client's own first.
+    #: Number of the last event that was forwarded; initially the client's Last-Event-Id.
     last_event: int | None
     started: bool = False
     events: int = 0
@@ -68,15 +68,15 @@
     longest_gap: float = 0
     rest: bytes = b''
     splitter: EventSplitter = field(default_factory=EventSplitter)
-    #: Called once, when the first event shows that a server has all it needs.
+    #: Called once, on the first event: the server has all its inputs then.
     on_first_event: Callable[[], None] = lambda: None
-    #: Called for all bytes of a stream.
+    #: Called for each chunk of a stream.
     on_chunk: Callable[[], None] = lambda: None
-    #: Told how long events took from their arrival to the client's connection.
+    #: Called with the seconds from the arrival of a chunk until it was forwarded.
     on_forwarded: Callable[[float], None] = lambda latency_s: None
 
     async def forward(self, answered: Answered) -> StreamOutcome:
-        """Pass one server's events on until they end."""
+        """Forward the events of one server until its stream ends."""
         self.splitter = EventSplitter()
         if not self.started:
             self.started = True
@@ -87,7 +87,7 @@
             late = self.clock.now() >= self.context.deadline
             return StreamOutcome.deadline if late else StreamOutcome.silent
         except ChannelError as error:
-            logger.debug('stream broke: %s', error)
+            logger.debug('stream aborted by the server: %s', error)
             return StreamOutcome.broken
 
     async def _forward_events(self, channel: Channel) -> StreamOutcome:
@@ -112,7 +112,7 @@
         self.last_event_at = now
 
     async def _forward_chunk(self, chunk: bytes) -> bool:
-        """Pass on the whole events of ``chunk``; False when one is missing."""
+        """Forward the complete events in ``chunk``; return False if one is out of order."""
         forwarded = []
         in_order = True
         for event in self.splitter.feed(chunk):
@@ -129,7 +129,7 @@
         return in_order
 
     def _is_next(self, number: int | None) -> bool:
-        """Return whether an event is the next one, or the last once more."""
+        """Return whether an event is the next one or repeats the last one."""
         if number is None or self.last_event is None:
             return True
         return self.last_event <= number <= self.last_event + 1
--- a/ringseam/gateway/requests/sending.py
+++ b/ringseam/gateway/requests/sending.py
@@ -1,4 +1,4 @@
-"""One send of a request to one backend server, up to the head of its answer."""
+"""Sends a request to one backend server and reads the head of the response."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 logger = logging.getLogger(__name__)
 
-#: A new connection that isn't made after this long won't be, seconds; the way
-#: there and back is milliseconds, a full queue of connections takes a second.
+#: Connect timeout, seconds. A round trip takes milliseconds; with a full accept queue,
+#: connecting takes a second.
 CONNECT_TIMEOUT_S = 0.4
-#: Answers for other requests that are skipped on one connection.
+#: Number of responses to other requests that are skipped on one connection.
 _MAX_STRAY_RESPONSES = 2
 
 
@@ -44,7 +44,7 @@
         clock: Clock,
         words: ServerWords,
     ) -> None:
-        """Send over the connections of ``pool``; ``words`` hears all answers."""
+        """Create a sender over ``pool``; ``words`` processes the headers of all responses."""
         self.pool = pool
         self.health = health
         self.silence = silence
@@ -58,14 +58,14 @@
         *,
         last_event: int | None = None,
     ) -> TryOutcome:
-        """Send the request once and return how it went.
+        """Send the request once and return the outcome.
 
         The connection of an :class:`Answered` belongs to the caller; in all
         other cases it is closed or kept here.
         """
         left = context.deadline - self.clock.now()
         if left <= 0:
-            return NotRun(detail='no time left')
+            return NotRun(detail='deadline exceeded before sending')
         try:
             channel = await self.pool.acquire(
                 server.address, timeout_s=min(CONNECT_TIMEOUT_S, left)
@@ -106,7 +106,9 @@
                 self._track_open_response(channel, context, server)
                 return await self._read_response(channel, context, server)
         except asyncio.TimeoutError:
-            return Lost(cause=LossCause.timeout, detail=f'{server.address}: no answer in time')
+            return Lost(
+                cause=LossCause.timeout, detail=f'{server.address}: no response before the deadline'
+            )
         except ChannelError as error:
             self.health.failed(server.instance, self.clock.now(), hard=channel.uses == 1)
             if not error.sent:
@@ -132,7 +134,7 @@
             marks = decode_marks(head)
             if marks.attempt_id in {'', context.request.attempt_id}:
                 break
-            # An answer to an earlier request on this connection: not ours.
+            # A response to an earlier request on this connection.
             await channel.whole_body()
             channel.skip_answer()
         self.silence.heard(server.instance, marks.attempt_id, self.clock.now(), event=False)
@@ -148,17 +150,22 @@
             )
         if marks.attempt_id != context.request.attempt_id or marks.encoded:
             channel.close()
-            return Lost(cause=LossCause.not_authentic, detail=f'{server.address}: foreign answer')
+            return Lost(
+                cause=LossCause.not_authentic,
+                detail=f'{server.address}: encoded response or wrong id',
+            )
         if _is_success(head) and not marks.authentic:
             channel.close()
-            return Lost(cause=LossCause.not_authentic, detail=f'{server.address}: no seal')
+            return Lost(
+                cause=LossCause.not_authentic, detail=f'{server.address}: response has no seal'
+            )
         return Answered(head=head, marks=marks, channel=channel)
 
     async def _discard_body(self, channel: Channel) -> None:
         try:
             await channel.whole_body()
         except ChannelError as error:
-            logger.debug('refusal broke off: %s', error)
+            logger.debug('connection failed while reading a refusal: %s', error)
             channel.close()
 
     def _release_channel(self, channel: Channel, outcome: TryOutcome | None) -> None:
--- a/ringseam/gateway/requests/serverselection.py
+++ b/ringseam/gateway/requests/serverselection.py
@@ -1,4 +1,4 @@
-"""Choice of a server for requests that go to any server of a service."""
+"""Server selection for requests that may go to any server of a service."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class ServerSelector:
-    """Choose among the servers that take a request now or soon.
+    """Choose among the servers that accept a request now or soon.
 
-    All gateways send to each of them, so each keeps to its share of what a cold one bears.
-    One that names a limit is passed over when it has no turn left, and one that has asked
-    this gateway for a pause until that is over.
+    All gateways send to each server, so each gateway keeps to its share of the load that
+    a server can bear while its cache is cold. Servers without a turn left under their
+    rate limit are skipped, as are those that have asked this gateway for a pause.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         turns: Turns,
         policy: BalancingPolicy,
     ) -> None:
-        """Choose by ``choice`` among what ``turns`` allows."""
+        """Create a selector that applies ``policy`` to the servers that ``turns`` allows."""
         self.clock = clock
         self.follower = follower
         self.turns = turns
@@ -40,7 +40,7 @@
         self.policy = policy
 
     async def choose(self, context: RequestContext) -> BackendReport | None:
-        """Return the best server, once the request may go there."""
+        """Return the best server, after waiting until the request may be sent to it."""
         context.available_in_s = 0
         servers = self._unpaused(context, self._untried(context))
         chosen = await self._select(context, servers)
@@ -50,7 +50,7 @@
         return chosen
 
     def has_alternative(self, context: RequestContext) -> bool:
-        """Return whether a server is left that takes requests now."""
+        """Return whether an untried server accepts requests now."""
         now = self.clock.now()
         pauses = self.pace.pauses
         return any(not pauses.left_s(server.instance, now) for server in self._untried(context))
@@ -60,7 +60,7 @@
         context: RequestContext,
         servers: list[BackendReport],
     ) -> BackendReport | None:
-        """Return the best of some servers, when its turn has come."""
+        """Return the best of ``servers`` that grants a turn, after waiting for that turn."""
         now = self.clock.now()
         service = self.follower.table.services.get(context.service)
         cold = service.cold if service else None
@@ -84,13 +84,13 @@
         return chosen
 
     async def _take_turn(self, context: RequestContext, server: BackendReport) -> Turn:
-        """Return a turn at a server, at once where it names no limit."""
+        """Take a turn on a server; it is granted at once if the server has no rate limit."""
         left_s = max(0, context.deadline - self.clock.now())
         longest_s = min(longest_wait_s(context.route.priority), left_s)
         return await self.turns.take(server, longest_s)
 
     def _untried(self, context: RequestContext) -> list[BackendReport]:
-        """Return the servers that a request has not been sent to."""
+        """Return the servers that the request has not been sent to."""
         serving = self.follower.serving(
             context.service, context.suspect.account, context.allowed_zones
         )
@@ -99,13 +99,13 @@
     def _unpaused(
         self, context: RequestContext, servers: list[BackendReport]
     ) -> list[BackendReport]:
-        """Return the servers that have not asked for a pause; note when the first ends."""
+        """Return the servers that are not paused; store when the first pause ends."""
         now = self.clock.now()
         waits = {known.instance: self.pace.pauses.left_s(known.instance, now) for known in servers}
         context.available_in_s = min((wait_s for wait_s in waits.values() if wait_s), default=0)
         return [known for known in servers if not waits[known.instance]]
 
     def _is_available(self, server: BackendReport) -> bool:
-        """Return whether a server still takes requests of this gateway."""
+        """Return whether a server still accepts requests of this gateway."""
         paused = self.pace.pauses.left_s(server.instance, self.clock.now())
         return not paused and self.follower.is_serving(server)
--- a/ringseam/gateway/role.py
+++ b/ringseam/gateway/role.py
@@ -1,4 +1,4 @@
-"""The gateway process: clients on one side, backend servers on the other."""
+"""The gateway process, between clients and backend servers."""
 
 from __future__ import annotations
 
@@ -46,15 +46,15 @@
 _NOT_FOUND = 404
 _UNAVAILABLE = 503
 _CLEANUP_INTERVAL_S = 0.5
-#: How often engines are looked at for silence, seconds.
+#: Interval between checks for unresponsive engines, seconds.
 _MONITOR_INTERVAL_S = 0.1
-#: From the signal to stop until the balancer has seen two missed answers and
-#: its last new connections have come, seconds.
+#: Time from the stop signal until the load balancer has seen two failed health checks
+#: and its last new connections have arrived, seconds.
 _DEREGISTRATION_DELAY_S = 2.6
-#: What is left of the grace period when all that runs is broken off, seconds.
+#: Time before the end of the grace period at which open requests are aborted, seconds.
 _ABORT_RESERVE_S = 0.6
-#: Before that, what is still in stages is refused, seconds: its client has the time to
-#: ask elsewhere, and a refusal that leaves now is not cut.
+#: Time before the abort at which requests that still run stages are refused, seconds.
+#: Their clients have time to retry elsewhere, and the refusals are sent in full.
 _STAGE_ABORT_LEAD_S = 1.0
 _DRAIN_POLL_S = 0.02
 
@@ -65,7 +65,7 @@
     name = 'gateway'
 
     def __init__(self, *, settings: Settings) -> None:
-        """Prepare; nothing is opened yet."""
+        """Create the components; sockets are opened by :meth:`open`."""
         super().__init__(settings=settings)
         self.node.adopts_group = False
         own = settings.own
@@ -163,7 +163,7 @@
         self.probe_server = HttpServer(handler=self._answer_probe, limits=HttpLimits())
 
     async def open(self) -> None:
-        """Listen, and follow control."""
+        """Start the servers and the background tasks."""
         self._register_methods()
         await self.server.start()
         self.stack.push_async_callback(self.server.close)
@@ -178,18 +178,18 @@
         self.spawn(self._run_monitor())
 
     def reload(self, settings: Settings) -> None:
-        """Take over other seeds."""
+        """Apply new settings; only added seeds take effect."""
         super().reload(settings)
         own = settings.own
         self.follower.add_addresses(cluster_addresses(own['seeds'], own['cluster_ports']))
 
     @property
     def drain_limit_s(self) -> float:
-        """Return the time until the process is killed, seconds."""
+        """Return the time from the stop signal until the process is killed, seconds."""
         return self.settings.own['grace_s']
 
     async def drain(self) -> None:
-        """Let the balancer turn away, then finish what was read."""
+        """Wait until the load balancer sends no new connections, then finish open requests."""
         loop = asyncio.get_running_loop()
         self.follower.draining = True
         self.client_server.closing = True
@@ -210,7 +210,7 @@
             await asyncio.sleep(_DRAIN_POLL_S)
 
     def abandon_silent_engines(self) -> None:
-        """Leave engines that have gone silent, and send their work elsewhere."""
+        """Eject unresponsive engines and move their requests to other servers."""
         now = self.node.clock.now()
         for instance in self.silence.silent(now):
             report = self.follower.view.backends.get(instance)
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -1,4 +1,4 @@
-"""A gateway in the test's own loop, scripted backend servers and a raw client."""
+"""An in-process gateway, scripted backend servers and a raw HTTP client."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 cluster_ports = 1, 2
 retry_slack = 100
 """
-#: A step of a scripted server: gets the request's head and the writer.
+#: Answers a request of a scripted server by writing to the writer.
 Script = Callable[['ReceivedRequest', asyncio.StreamWriter], Awaitable[None]]
 
 
 class ReceivedRequest:
-    """A request as a scripted server got it."""
+    """A request as received by a scripted server."""
 
     def __init__(self, head: bytes, reader: asyncio.StreamReader) -> None:
         self.lines = head.decode('latin-1').split('\r\n')
@@ -55,7 +55,7 @@
 
 
 class ScriptedServer:
-    """A backend server that follows one script for every request."""
+    """A backend server that runs the same script for every request."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -89,7 +89,7 @@
     attempt_id: str | None = None,
     extra: str = '',
 ) -> bytes:
-    """Return a whole answer of a backend server."""
+    """Return a complete response of a backend server."""
     return (
         f'HTTP/1.1 {status}\r\n'
         f'Attempt-Id: {request.attempt_id if attempt_id is None else attempt_id}\r\n'
@@ -98,7 +98,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection instead of closing it."""
+    """Close a connection with a TCP reset."""
     sock = writer.get_extra_info('socket')
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
     writer.transport.abort()
@@ -184,7 +184,7 @@
 
 
 class LocalGateway:
-    """A gateway that was told its routes and servers, without control."""
+    """A gateway whose routes and servers are set by the test, without control processes."""
 
     def __init__(self, key_file) -> None:
         text = SETTINGS.format(key=key_file)
@@ -230,7 +230,7 @@
         self.role.follower.gateways = states
 
     async def fetch(self, path: str, *, read_s: float = 4, **headers: str) -> tuple[int, bytes]:
-        """Return the status and all bytes of the answer until its end."""
+        """Send a request; return the status and all bytes until the connection closes."""
         reader, writer = await self.open_request(path, **headers)
         async with asyncio.timeout(read_s):
             raw = await reader.read()
@@ -238,7 +238,7 @@
         return (int(raw.split(b' ')[1]) if raw else 0), raw
 
     async def open_request(self, path: str, **headers: str):
-        """Send a request on a connection of its own."""
+        """Send a request on a new connection; return the reader and the writer."""
         reader, writer = await asyncio.open_connection('127.0.0.1', self.port)
         sent = {
             'Host': 'h.example',
@@ -276,5 +276,5 @@
 
 
 async def refuse_full(request, writer):
-    """Refuse a request as a server does that has no place left."""
+    """Refuse a request like a server without free capacity."""
     writer.write(b'HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n')
--- a/tests/test_gateway/conftest.py
+++ b/tests/test_gateway/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of gateways share."""
+"""Fixtures for the tests of gateways."""
 
 from __future__ import annotations
 
--- a/tests/test_gateway/test_requests/test_requests_admission.py
+++ b/tests/test_gateway/test_requests/test_requests_admission.py
@@ -1,4 +1,4 @@
-"""Who is refused at once, and when to come back."""
+"""Which requests admission refuses, and when their clients should retry."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 
 @pytest.mark.parametrize(('predicted_s', 'refused'), [(0.5, False), (1.9, False), (2.1, True)])
-def test_first_try_is_refused_when_it_would_be_late(predicted_s, refused):
+def test_first_attempt_is_refused_when_it_would_be_late(predicted_s, refused):
     admission = Admission(seed='x')
     assert bool(admission.check(request_context(), predicted_s, 0)) is refused
 
 
-def test_client_that_comes_back_is_taken_in():
+def test_retry_of_a_refused_client_is_admitted():
     admission = Admission(seed='x')
     assert admission.check(request_context(), 4, 0)
     retry = request_context(left_s=8.5, arrived=1.5, since_first_attempt_s=1.5)
@@ -58,32 +58,32 @@
     assert admission.check(request_context(left_s=3, arrived=7), 4, 7)
 
 
-def test_pause_stays_within_what_clients_honour():
+def test_retry_after_stays_within_what_clients_honour():
     admission = Admission(seed='x')
     refusal = admission.check(request_context(), 60, 0)
     assert 0 < refusal.retry_after_s <= 10 / 3
 
 
-def test_usual_time_is_forgotten():
+def test_typical_time_limit_expires():
     admission = Admission(seed='x')
     assert admission.since_first_attempt_s('r', 10, 0) == 0
     assert admission.since_first_attempt_s('r', 5, 1) == 5
     assert admission.since_first_attempt_s('r', 5, 100) == 0
 
 
-def test_client_that_names_no_time_is_a_first_try():
+def test_request_without_a_time_limit_is_a_first_attempt():
     assert Admission(seed='x').since_first_attempt_s('r', None, 0) == 0
 
 
-def test_objective_counts_from_the_first_try():
+def test_objective_counts_from_the_first_attempt():
     assert (
         request_context(left_s=8.5, arrived=1.5, since_first_attempt_s=1.5).objective_deadline == 2
     )
 
 
-def test_clients_that_differ_in_their_limits_are_all_first_tries():
-    """Load: half of the clients and more name shorter limits of their own. Taken for
-    clients that came back, they would go after all others."""
+def test_clients_with_different_limits_all_count_as_first_attempts():
+    """At least half of the clients set shorter time limits of their own. If these were
+    taken for retries, they would be queued after all other requests."""
     admission = Admission(seed='x')
     found = [
         admission.since_first_attempt_s('r', 4 + number % 5, number * 0.1) for number in range(200)
@@ -91,7 +91,7 @@
     assert not any(found[20:])
 
 
-def test_clients_that_come_back_are_known_while_each_comes_back():
+def test_retries_are_recognized_when_every_client_retries():
     admission = Admission(seed='x')
     for number in range(50):
         assert admission.since_first_attempt_s('r', 10, number) == 0
--- a/tests/test_gateway/test_requests/test_requests_faults.py
+++ b/tests/test_gateway/test_requests/test_requests_faults.py
@@ -1,4 +1,4 @@
-"""Contract of a gateway towards clients, for each fault of a backend server."""
+"""What clients get from a gateway for each kind of fault of a backend server."""
 
 from __future__ import annotations
 
@@ -87,8 +87,8 @@
     await asyncio.sleep(30)
 
 
-#: Script, status for a request that runs at most once, status for one that may
-#: be repeated and has a good second server, and sends of the first kind.
+#: Script, status of a request that may run at most once, and status of an idempotent
+#: request that has a working second server.
 FAULTS = [
     (respond_ok, 200, 200),
     (failing, 500, 200),
@@ -109,8 +109,8 @@
 
 
 @pytest.mark.parametrize(('script', 'status'), [(row[0], row[1]) for row in FAULTS])
-def test_request_that_may_not_be_repeated(key_file, script, status):
-    """One server alone: it is sent once, and 503 only with a proof of not run."""
+def test_non_idempotent_request_with_a_single_server(key_file, script, status):
+    """With a single server, the request is sent once; 503 only if it has not run."""
 
     async def run():
         server = ScriptedServer(script)
@@ -128,11 +128,11 @@
 
 
 @pytest.mark.parametrize(('script', 'status'), [(row[0], row[2]) for row in FAULTS])
-def test_request_that_may_be_repeated_is_served_by_the_second_server(key_file, script, status):
+def test_idempotent_request_is_served_by_the_second_server(key_file, script, status):
     async def run():
         bad, second = ScriptedServer(script), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            # The name decides between servers of equal cost.
+            # Ties between servers of equal cost are broken by name.
             gateway.add_server(await bad.start(), name='a-first')
             gateway.add_server(await second.start(), name='b-second')
             found, raw = await gateway.fetch('/idem/x')
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize('script', [failing, resetting, garbage, stalling])
-def test_request_that_may_not_be_repeated_never_reaches_a_second_server(key_file, script):
+def test_non_idempotent_request_never_reaches_a_second_server(key_file, script):
     async def run():
         bad, second = ScriptedServer(script), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
@@ -170,7 +170,7 @@
     asyncio.run(run())
 
 
-def test_connection_that_gave_surplus_bytes_is_not_used_again(key_file):
+def test_connection_with_surplus_bytes_is_not_reused(key_file):
     async def run():
         server = ScriptedServer(good_and_more)
         async with LocalGateway(key_file) as gateway:
@@ -184,7 +184,7 @@
     asyncio.run(run())
 
 
-def test_sound_connection_is_kept(key_file):
+def test_working_connection_is_reused(key_file):
     async def run():
         server = ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
@@ -196,7 +196,7 @@
     asyncio.run(run())
 
 
-def test_no_server_is_a_refusal_at_once(key_file):
+def test_request_is_refused_at_once_without_a_server(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
             found, raw = await gateway.fetch('/once/x', read_s=0.5)
@@ -221,7 +221,7 @@
     asyncio.run(run())
 
 
-def test_client_that_leaves_closes_the_servers_connection(key_file):
+def test_disconnect_of_the_client_closes_the_server_connection(key_file):
     async def run():
         gone = asyncio.Event()
 
@@ -268,7 +268,7 @@
     asyncio.run(run())
 
 
-def test_gateway_without_routes_promises_that_nothing_ran(key_file):
+def test_gateway_without_routes_responds_that_nothing_ran(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
             gateway.role.follower.table = type(gateway.role.follower.table)()
@@ -278,8 +278,9 @@
     asyncio.run(run())
 
 
-def test_request_waits_a_little_for_the_first_routes(key_file):
-    """Seen: 41 requests turned away within 0.4 s of a start, back only 1.5 s later."""
+def test_request_waits_briefly_for_the_first_routes(key_file):
+    """Without the wait, 41 requests were refused in the first 0.4 s after a start and
+    came back only 1.5 s later."""
 
     async def run():
         server = ScriptedServer(respond_ok)
@@ -296,21 +297,21 @@
     asyncio.run(run())
 
 
-async def new_one_only(request, writer):
-    """Answer as the server that took over another one's address."""
+async def accept_for_new_instance_only(request, writer):
+    """Respond as the server that took over the address of another one."""
     if request.header('Expect-Instance') == 'new':
         await respond_ok(request, writer)
     else:
         writer.write(http_response(request, status='421 Misdirected Request'))
 
 
-def test_server_that_a_late_report_brought_back_is_forgotten_at_the_first_request(key_file):
-    """Pattern: a heartbeat that a cut delayed arrives after its sender has crashed and
-    another server stands at the same address. Grounds: it would be believed for 4.5 s,
-    and each request sent to it uses up one of its tries."""
+def test_server_restored_by_a_late_report_is_removed_by_the_first_request(key_file):
+    """A heartbeat delayed by a network partition arrives after its sender has crashed and
+    another server uses the same address. The report would stay valid for 4.5 s, and each
+    request sent to the crashed server would use up one of its tries."""
 
     async def run():
-        server = ScriptedServer(new_one_only)
+        server = ScriptedServer(accept_for_new_instance_only)
         async with LocalGateway(key_file) as gateway:
             address = await server.start()
             gateway.add_server(address, name='a-crashed')
@@ -324,9 +325,9 @@
     asyncio.run(run())
 
 
-def test_what_was_in_flight_at_an_earlier_lifetime_may_have_run(key_file):
-    """A server crashes with a request that may not be repeated, and starts again under
-    its name: the request isn't sent to the later lifetime, others are."""
+def test_requests_in_flight_before_a_restart_may_have_run(key_file):
+    """A server crashes with a non-idempotent request and restarts under the same name:
+    the request isn't sent to the restarted server, later requests are."""
 
     async def run():
         async with LocalGateway(key_file) as gateway:
@@ -350,7 +351,7 @@
     asyncio.run(run())
 
 
-def test_later_lifetime_is_not_judged_by_the_earlier_one(key_file):
+def test_restarted_server_does_not_inherit_an_ejection(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
             server = ScriptedServer(respond_ok)
--- a/tests/test_gateway/test_requests/test_requests_leaving.py
+++ b/tests/test_gateway/test_requests/test_requests_leaving.py
@@ -1,4 +1,4 @@
-"""Backend servers that say in their answers that they leave."""
+"""Backend servers that announce in their responses that they are shutting down."""
 
 from __future__ import annotations
 
@@ -35,7 +35,8 @@
     writer.write(stream_head(request) + chunk(event(1)) + b'0\r\n\r\n')
 
 
-# A server that said so only in its answers got new work until its report came.
+# Fault: a server that announced it only in its responses got new requests until its report
+# arrived.
 @pytest.mark.parametrize(
     ('path', 'script', 'other_script'),
     [
@@ -45,7 +46,7 @@
         ('/sticky/x', leaving_stream, respond_stream),
     ],
 )
-def test_server_that_leaves_gets_nothing_new_and_ends_what_it_runs(
+def test_leaving_server_gets_no_new_requests_and_finishes_running_ones(
     key_file,
     path,
     script,
@@ -66,8 +67,8 @@
     asyncio.run(run())
 
 
-# Stage servers say it in the answers to calls for pieces.
-def test_stage_server_that_leaves_gets_no_new_calls(key_file):
+# Stage servers announce it in their responses to piece calls.
+def test_leaving_stage_server_gets_no_new_calls(key_file):
     async def run():
         place = {}
 
@@ -101,8 +102,8 @@
     asyncio.run(run())
 
 
-# An owner that has not heard of it places on the server all the same.
-def test_gateway_that_was_told_has_its_requests_placed_elsewhere(key_file):
+# Fault: an owner that does not know of the announcement still places requests on the server.
+def test_informed_gateway_has_its_requests_placed_elsewhere(key_file):
     async def run():
         server, other = ScriptedServer(leaving_stream), ScriptedServer(respond_stream)
         async with LocalGateway(key_file) as owner, LocalGateway(key_file) as informed:
@@ -123,7 +124,7 @@
     asyncio.run(run())
 
 
-def test_report_that_calls_it_ready_does_not_bring_a_leaving_server_back():
+def test_ready_report_does_not_restore_a_leaving_server():
     view = BackendView()
     report = BackendReport(
         instance=BackendId('a'),
@@ -135,7 +136,7 @@
     view.apply(report)
     view.mark_leaving(BackendId('a'))
     assert view.serving(ServiceName('plain')) == []
-    # Its channels and what it keeps are still used by what runs there.
+    # Running requests still use its channels and its cache.
     assert view.zones == {'a:1': 'a'}
     view.remove(BackendId('a'))
     view.apply(
@@ -150,7 +151,7 @@
     assert view.serving(ServiceName('plain')) == []
 
 
-def test_next_lifetime_of_a_server_that_left_is_used():
+def test_server_that_left_is_used_again_after_a_restart():
     view = BackendView()
     view.mark_leaving(BackendId('a#1000'))
     report = BackendReport(
@@ -165,7 +166,7 @@
 
 
 @pytest.mark.parametrize('value', ['0', '', 'no', '11'])
-def test_other_values_do_not_say_that_it_leaves(key_file, value):
+def test_other_header_values_do_not_mark_a_server_as_leaving(key_file, value):
     async def run():
         async def script(request, writer):
             writer.write(http_response(request, extra=f'Server-Leaving: {value}\r\n'))
--- a/tests/test_gateway/test_requests/test_requests_limits.py
+++ b/tests/test_gateway/test_requests/test_requests_limits.py
@@ -1,4 +1,4 @@
-"""Backend servers that name a limit for all gateways, on each way by which work reaches them."""
+"""Rate limits that backend servers set for all gateways, on each request path."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 LIMIT = 'Server-Limit: 1\r\n'
-#: With a limit of 1 a second, four seconds may bring one and a half times as much and 5 more.
+#: With a limit of 1 request per second, up to 1.5 times as many plus 5 may arrive in 4 s.
 ALLOWED = 11
 BURST = 24
 
@@ -40,13 +40,13 @@
 
 
 async def burst(gateway, path, **headers):
-    """Ask once, and then many times at the same moment."""
+    """Send one request, then many at the same time."""
     await gateway.fetch(path, Attempt_Id='first', **headers)
     asks = (gateway.fetch(path, Attempt_Id=f'r{number}', **headers) for number in range(BURST))
     return await asyncio.gather(*asks)
 
 
-# A server that named its limit kept getting all that came, on every way to it.
+# Fault: a server that set a limit still got all requests, on each request path.
 @pytest.mark.parametrize(
     ('path', 'script'),
     [
@@ -56,7 +56,7 @@
         ('/sticky/x', limited_stream),
     ],
 )
-def test_server_that_names_its_limit_gets_no_more(key_file, path, script):
+def test_server_gets_no_more_requests_than_its_limit(key_file, path, script):
     async def run():
         server = ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
@@ -70,8 +70,8 @@
     asyncio.run(run())
 
 
-# Calls for pieces are decided elsewhere than requests, and the limit was lost there as well.
-def test_stage_server_that_names_its_limit_gets_no_more_calls(key_file):
+# Piece calls are scheduled separately from requests; the limit was ignored there as well.
+def test_stage_server_gets_no_more_calls_than_its_limit(key_file):
     async def run():
         place = {}
 
@@ -95,8 +95,8 @@
     asyncio.run(run())
 
 
-# Gateways that place by an owner which hears no answer of the server itself.
-def test_owner_holds_to_a_limit_that_another_gateway_was_told(key_file):
+# Gateways place requests through an owner that gets no response of the server itself.
+def test_owner_respects_a_limit_that_another_gateway_received(key_file):
     async def run():
         server = ScriptedServer(limited_stream)
         async with LocalGateway(key_file) as owner, LocalGateway(key_file) as informed:
@@ -111,7 +111,7 @@
     asyncio.run(run())
 
 
-def test_what_a_limited_server_does_not_take_goes_to_the_others(key_file):
+def test_requests_above_the_limit_go_to_other_servers(key_file):
     async def run():
         one, other = ScriptedServer(limited), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
@@ -125,7 +125,7 @@
     asyncio.run(run())
 
 
-def test_answer_of_an_unknown_server_says_nothing(key_file):
+def test_response_of_an_unknown_server_is_ignored(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
             marks = AnswerMarks(
@@ -145,7 +145,7 @@
     asyncio.run(run())
 
 
-def test_limit_ends_with_an_answer_that_names_none(key_file):
+def test_limit_ends_with_a_response_without_a_limit(key_file):
     async def run():
         says = {'extra': LIMIT}
 
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize('value', ['nan', '-1', '1e999', '', 'many', '1, 2', '9' * 400])
-def test_limit_that_is_no_number_changes_nothing(key_file, value):
+def test_invalid_limit_is_ignored(key_file, value):
     async def run():
         async def script(request, writer):
             writer.write(http_response(request, extra=f'Server-Limit: {value}\r\n'))
--- a/tests/test_gateway/test_requests/test_requests_pauses.py
+++ b/tests/test_gateway/test_requests/test_requests_pauses.py
@@ -1,4 +1,4 @@
-"""Backend servers that turn requests away and ask for a pause, on each way to them."""
+"""Backend servers that refuse requests and ask for a pause, on each request path."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ringseam.gateway.following.pauses import PauseBook
 from tests.gateways import LocalGateway, ScriptedServer, http_response, stream_head
 
-#: From half a second after it was asked for, this many requests may come within a pause.
+#: Number of requests that may arrive during a pause, from 0.5 s after its start.
 ALLOWED = 2
 LATER = 8
 
@@ -30,16 +30,16 @@
 
 
 async def fetch_later(gateway, path, **headers):
-    """Ask once and, past the time in which requests were under way, some times more."""
+    """Send one request and, when earlier requests have ended, several more."""
     await gateway.fetch(path, Attempt_Id='first', **headers)
     await asyncio.sleep(0.5)
     asks = (gateway.fetch(path, Attempt_Id=f'r{number}', **headers) for number in range(LATER))
     return await asyncio.gather(*asks)
 
 
-# A server that had asked for a pause went on getting requests, on every way to it.
+# Fault: a server that had asked for a pause still got requests, on each request path.
 @pytest.mark.parametrize('path', ['/idem/x', '/once/x', '/flow/x', '/sticky/x'])
-def test_server_that_asked_for_a_pause_gets_nothing_more(key_file, path):
+def test_paused_server_gets_no_more_requests(key_file, path):
     async def run():
         server = ScriptedServer(refuse_with_pause)
         async with LocalGateway(key_file) as gateway:
@@ -55,12 +55,12 @@
     asyncio.run(run())
 
 
-# An idle server that turns all away was preferred to one that works.
+# Fault: an idle server that refuses all requests was preferred to a working one.
 @pytest.mark.parametrize(
     ('path', 'script'),
     [('/idem/x', respond_ok), ('/flow/x', respond_stream), ('/sticky/x', respond_stream)],
 )
-def test_requests_go_to_the_others_while_a_server_pauses(key_file, path, script):
+def test_requests_go_to_other_servers_during_a_pause(key_file, path, script):
     async def run():
         server, other = ScriptedServer(refuse_with_pause), ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
@@ -74,8 +74,8 @@
     asyncio.run(run())
 
 
-# The owner that places for others isn't told of a pause by the server.
-def test_owner_places_elsewhere_for_a_gateway_that_was_turned_away(key_file):
+# The owner that places requests of other gateways isn't told of a pause by the server.
+def test_owner_places_elsewhere_for_a_gateway_that_was_refused(key_file):
     async def run():
         server, other = ScriptedServer(refuse_with_pause), ScriptedServer(respond_stream)
         async with LocalGateway(key_file) as owner, LocalGateway(key_file) as informed:
@@ -95,8 +95,8 @@
     asyncio.run(run())
 
 
-# Calls for pieces went back to the server after milliseconds.
-def test_stage_server_that_asked_for_a_pause_gets_no_calls(key_file):
+# Fault: piece calls were sent to the server again after milliseconds.
+def test_paused_stage_server_gets_no_calls(key_file):
     async def run():
         crops, engine = ScriptedServer(refuse_with_pause), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
@@ -109,8 +109,9 @@
     asyncio.run(run())
 
 
-# What waits for servers that all pause is hopeless at once, not when its time is over.
-def test_request_is_refused_before_its_stages_while_all_stage_servers_pause(key_file):
+# A request that needs a service whose servers are all paused is refused at once, not at its
+# deadline.
+def test_request_is_refused_at_once_while_all_stage_servers_are_paused(key_file):
     async def run():
         crops, engine = ScriptedServer(refuse_with_pause), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
@@ -129,7 +130,7 @@
     asyncio.run(run())
 
 
-def test_results_are_not_given_up_at_a_server_that_pauses(key_file):
+def test_results_are_not_released_at_a_paused_server(key_file):
     async def run():
         place = {}
 
@@ -182,7 +183,7 @@
 
 
 @pytest.mark.parametrize('value', ['nan', '-1', 'Wed, 21 Oct 2026 07:28:00 GMT', '', '1, 2'])
-def test_pause_that_is_no_number_is_none(key_file, value):
+def test_invalid_pause_is_ignored(key_file, value):
     async def run():
         async def script(request, writer):
             head = f'HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nRetry-After: {value}\r\n'
@@ -198,7 +199,7 @@
     asyncio.run(run())
 
 
-def test_pause_of_a_day_ends_after_minutes():
+def test_pause_is_limited_to_five_minutes():
     book = PauseBook()
     book.heard('s', 86400, 0)
     assert book.left_s('s', 0) == 300
--- a/tests/test_gateway/test_requests/test_requests_regions.py
+++ b/tests/test_gateway/test_requests/test_requests_regions.py
@@ -1,4 +1,4 @@
-"""Requests stay in the regions that their route and their account allow."""
+"""Requests run only in the regions that their route and account allow."""
 
 import asyncio
 
@@ -23,13 +23,13 @@
     [
         ('/north/x', 'key-1', ['a']),
         ('/idem/x', 'key-2', ['b']),
-        # Both bind: no region is left.
+        # Route and account allow no common region.
         ('/north/x', 'key-2', []),
-        # No zone is known to be there.
+        # No availability zone is known in the region.
         ('/far/x', 'key-1', []),
     ],
 )
-def test_request_runs_where_route_and_account_allow_it(key_file, path, key, expected):
+def test_request_runs_in_allowed_regions_only(key_file, path, key, expected):
     async def run():
         servers = {zone: ScriptedServer(respond_ok) for zone in 'ab'}
         async with LocalGateway(key_file) as gateway:
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize('zones', ['ab', 'b'])
-def test_pieces_are_made_in_the_allowed_regions_only(key_file, zones):
+def test_pieces_run_in_allowed_regions_only(key_file, zones):
     async def run():
         makers = {zone: ScriptedServer(run_pieces) for zone in zones}
         last = ScriptedServer(respond_ok)
--- a/tests/test_gateway/test_requests/test_requests_relay.py
+++ b/tests/test_gateway/test_requests/test_requests_relay.py
@@ -1,4 +1,4 @@
-"""A stream over several servers against a naive model of what a client may see."""
+"""Compares a stream over several servers with a reference model of the client's view."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class Client:
-    """What a client gets."""
+    """Records what a client receives."""
 
     received: bytes = b''
     starts: int = 0
@@ -35,7 +35,7 @@
 
 @dataclass
 class Server:
-    """A server's stream, in chunks, and whether it ends as it should."""
+    """A server's stream in chunks; it ends properly or breaks."""
 
     chunks: list
     ends: bool
@@ -55,12 +55,12 @@
 
 @st.composite
 def server_plans(draw):
-    """Servers, each going on after an event with some shift, cut somewhere."""
+    """Draw servers: offset from the requested event, length of the stream, chunk size."""
     plans = []
     for _ in range(draw(st.integers(1, 4))):
         plans.append(
             (
-                # An event is missing, none is, or the last one comes again.
+                # The stream continues as requested, skips an event or repeats the last one.
                 draw(st.sampled_from([0, 0, 0, 1, -1])),
                 draw(st.integers(0, 300)),
                 draw(st.integers(1, 40)),
@@ -70,7 +70,7 @@
 
 
 def server_after(after, cut, size):
-    """Return the chunks of all events after ``after`` up to byte ``cut``."""
+    """Return a server that streams the events after ``after``, up to byte ``cut``."""
     whole = b''.join(event(number) for number in range(max(1, after + 1), LAST_EVENT + 1))
     kept = whole[:cut]
     chunks = [kept[begin : begin + size] for begin in range(0, len(kept), size)]
@@ -78,7 +78,7 @@
 
 
 def expected_last_event(after, offset, cut):
-    """Return the event after which a client stands, judged on the whole bytes."""
+    """Return the last event that a client has received, computed on the full stream."""
     begin = max(1, after + offset + 1)
     sent = b''
     last_event = after
@@ -92,7 +92,7 @@
 
 @given(server_plans(), st.integers(0, 3))
 def test_client_gets_each_event_once_and_in_order(servers, first_seen):
-    """The client has seen some events before; each server is asked after the last."""
+    """The client has some events already; each server continues after the last one."""
 
     async def run():
         client = Client()
--- a/tests/test_gateway/test_requests/test_requests_streams.py
+++ b/tests/test_gateway/test_requests/test_requests_streams.py
@@ -1,4 +1,4 @@
-"""Streams over broken, silent and disordered servers."""
+"""Streams from servers that break off, stall or send events out of order."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 
 
-def test_stream_is_passed_on_whole(key_file):
+def test_stream_is_forwarded_completely(key_file):
     async def run():
         server = ScriptedServer(stream_script(1, 6))
         async with LocalGateway(key_file) as gateway:
@@ -30,7 +30,7 @@
     asyncio.run(run())
 
 
-def test_broken_stream_goes_on_at_another_server_in_the_same_answer(key_file):
+def test_broken_stream_continues_on_another_server_in_the_same_response(key_file):
     async def run():
         broken, second = (
             ScriptedServer(stream_script(1, 3, end=False)),
@@ -48,7 +48,7 @@
     asyncio.run(run())
 
 
-def test_broken_stream_that_may_not_go_on_does_not_look_complete(key_file):
+def test_broken_stream_that_may_not_resume_does_not_look_complete(key_file):
     async def run():
         broken, second = (
             ScriptedServer(stream_script(1, 3, end=False)),
@@ -70,7 +70,7 @@
     asyncio.run(run())
 
 
-def test_events_that_come_twice_or_skip_one_are_not_passed_on(key_file):
+def test_repeated_and_out_of_order_events_are_not_forwarded(key_file):
     async def out_of_order(request, writer):
         writer.write(stream_head(request))
         for number in (1, 2, 2, 3, 5):
@@ -88,7 +88,7 @@
     asyncio.run(run())
 
 
-def test_event_that_was_cut_in_the_middle_is_made_again(key_file):
+def test_event_that_was_cut_in_the_middle_is_sent_by_the_next_server(key_file):
     async def cut(request, writer):
         writer.write(stream_head(request) + chunk(event(1)) + chunk(event(2)[:7]))
         await writer.drain()
@@ -107,9 +107,9 @@
     asyncio.run(run())
 
 
-def test_stream_leaves_a_silent_engine_before_its_own_pause_is_too_long(key_file):
-    """Seen on the bench: engines that went dark held streams for 1.8 s, and
-    requests without a first event for 3 s."""
+def test_stream_leaves_an_unresponsive_engine_before_its_idle_timeout(key_file):
+    """Unresponsive engines held streams for 1.8 s, and requests without a first event
+    for 3 s."""
 
     async def run():
         async def stalling(request, writer):
