--- a/ringseam/control/founding.py
+++ b/ringseam/control/founding.py
@@ -9,7 +9,7 @@
 from ringseam.control.peermessages import HELLO, HelloReply, HelloRequest
 from ringseam.control.raftlog import Member
 from ringseam.control.replicamessages import (
-    FormGroup,
+    CreateGroup,
     GetReplicaStatus,
     ReplicaStatus,
 )
@@ -97,11 +97,13 @@
         )
         addresses = self.peer_addresses()
         replies = await asyncio.gather(*(self._send_hello(peer, hello) for peer in addresses))
-        answers = {peer: reply for peer, reply in zip(addresses, replies, strict=True) if reply}
-        for reply in answers.values():
+        replies_by_address = {
+            peer: reply for peer, reply in zip(addresses, replies, strict=True) if reply
+        }
+        for reply in replies_by_address.values():
             self.known_addresses.update(reply.members)
         if not status.group and self.may_create_group:
-            self._create_group_if_ready(status, answers)
+            self._create_group_if_ready(status, replies_by_address)
 
     async def _send_hello(self, address: str, hello: HelloRequest) -> HelloReply | None:
         try:
@@ -111,7 +113,9 @@
             return None
         return reply.body
 
-    def _create_group_if_ready(self, status: ReplicaStatus, answers: dict[str, HelloReply]) -> None:
+    def _create_group_if_ready(
+        self, status: ReplicaStatus, replies_by_address: dict[str, HelloReply]
+    ) -> None:
         """Create a group if all initial addresses answered and none has a group.
 
         Only the lowest address creates it. Requiring all answers keeps two replicas
@@ -119,11 +123,11 @@
         """
         others = [address for address in self.initial_addresses if address != self.node.address]
         if self.node.address != min(self.initial_addresses) or any(
-            peer not in answers for peer in others
+            peer not in replies_by_address for peer in others
         ):
             return
-        if any(reply.group for reply in answers.values()):
+        if any(reply.group for reply in replies_by_address.values()):
             return
-        members = [Member(disk=answers[peer].disk, address=peer) for peer in others]
+        members = [Member(disk=replies_by_address[peer].disk, address=peer) for peer in others]
         members.append(Member(disk=status.disk, address=self.node.address))
-        self.actor.tell(FormGroup(members=tuple(members)))
+        self.actor.tell(CreateGroup(members=tuple(members)))
--- a/ringseam/control/raft.py
+++ b/ringseam/control/raft.py
@@ -48,7 +48,7 @@
             self._on_vote_request(source, message, now)
             return
         if message.term > self.term and not _is_pre_vote_grant(message):
-            self._follow(message.term, '', now)
+            self._become_follower(message.term, '', now)
         if isinstance(message, VoteReply):
             self._on_vote_reply(source, message, now)
         elif isinstance(message, AppendReply):
@@ -120,7 +120,7 @@
         if hard_state != self.saved_hard_state:
             ready.hard_state = hard_state
             self.saved_hard_state = hard_state
-        ready.committed = self.log.between(self.applied_index + 1, self.commit_index)
+        ready.committed = self.log.entries_between(self.applied_index + 1, self.commit_index)
         self.applied_index = self.commit_index
         return ready
 
@@ -152,7 +152,7 @@
             self._reject_vote(source, request)
             return
         if request.term > self.term and not request.pre:
-            self._follow(request.term, '', now)
+            self._become_follower(request.term, '', now)
         current = (self.log.last_term, self.log.last_index)
         granted = (request.last_term, request.last_index) >= current
         if request.pre:
@@ -197,7 +197,7 @@
         self._update_progress(now)
         self._append(EntryKind.noop, b'')
 
-    def _follow(self, term: int, leader: str, now: float) -> None:
+    def _become_follower(self, term: int, leader: str, now: float) -> None:
         if term > self.term:
             self.term = term
             self.voted_for = ''
@@ -211,7 +211,7 @@
 
     def _record_leader_contact(self, source: str, now: float) -> None:
         if self.role is not RaftRole.follower or self.leader != source:
-            self._follow(self.term, source, now)
+            self._become_follower(self.term, source, now)
         self.leader_contact_at = now
         self._reset_election_timer(now)
 
@@ -230,7 +230,7 @@
         if not self._is_voter():
             reachable -= 1
         if reachable < self.membership.quorum:
-            self._follow(self.term, '', now)
+            self._become_follower(self.term, '', now)
         elif self.transfer_target and now >= self.election_deadline:
             self.transfer_target = ''
 
--- a/ringseam/control/replica.py
+++ b/ringseam/control/replica.py
@@ -19,9 +19,9 @@
     payload_bytes,
 )
 from ringseam.control.replicamessages import (
+    CreateGroup,
     Deliver,
     FindApply,
-    FormGroup,
     GetReplicaStatus,
     Leadership,
     NonMemberSeen,
@@ -130,15 +130,15 @@
             if change is not None and self.raft.change_membership(change) is not None:
                 self._log_members(change)
 
-    def form_group(self, form: FormGroup, reply_to: ReplyTo | None) -> None:
+    def create_group(self, request: CreateGroup, reply_to: ReplyTo | None) -> None:
         """Create a group whose first snapshot holds the members; no-op within a group."""
         if self.identity.group:
             return
-        self._create_group(Membership(form.members))
+        self._initialize_group(Membership(request.members))
 
-    def record_non_member(self, seen: NonMemberSeen, reply_to: ReplyTo | None) -> None:
+    def record_non_member(self, report: NonMemberSeen, reply_to: ReplyTo | None) -> None:
         """Record a data folder outside the group, as a candidate for membership."""
-        self.repair.record(seen.disk, seen.address, self.node.clock.now())
+        self.repair.record(report.disk, report.address, self.node.clock.now())
 
     def read_barrier(self, request: ReadBarrier, reply_to: ReplyTo) -> None:
         """Start a linearizable read."""
@@ -310,7 +310,7 @@
             now=self.node.clock.now(),
         )
 
-    def _create_group(self, membership: Membership) -> None:
+    def _initialize_group(self, membership: Membership) -> None:
         group = f'g-{self.identity.disk}'
         snapshot = Snapshot(index=1, term=1, membership=membership)
         hard_state = HardState(1, '')
@@ -394,7 +394,7 @@
     Propose: Replica.propose,
     Deliver: Replica.deliver,
     Tick: Replica.tick,
-    FormGroup: Replica.form_group,
+    CreateGroup: Replica.create_group,
     NonMemberSeen: Replica.record_non_member,
     ReadBarrier: Replica.read_barrier,
     TransferLeadership: Replica.transfer_leadership,
--- a/ringseam/control/replicamessages.py
+++ b/ringseam/control/replicamessages.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FormGroup:
+class CreateGroup:
     """Create a group with these members, whose data folders all have no group yet."""
 
     members: tuple[Member, ...]
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -12,8 +12,8 @@
     Replica,
 )
 from ringseam.control.replicamessages import (
+    CreateGroup,
     Deliver,
-    FormGroup,
     NonMemberSeen,
     NotLeading,
     Propose,
@@ -123,7 +123,7 @@
         self.founders = sorted(self.hosts)[: founders or count]
         self.packets = []
         self.cuts = set()
-        self.drop = 0.0
+        self.drop_rate = 0.0
         self.replies = []
         for address in self.hosts:
             self.start(address)
@@ -192,7 +192,7 @@
             replica = host.replica if host is not None else None
             if replica is None or (source, target) in self.cuts:
                 continue
-            if self.random.random() < self.drop:
+            if self.random.random() < self.drop_rate:
                 continue
             replica.receive(Deliver(packet=packet, address=source))
             replica.flush()
@@ -218,8 +218,10 @@
             disk = host.replica.identity.disk
             for peer in reached:
                 peer.replica.receive(NonMemberSeen(disk=disk, address=address))
-            blank = {peer.address for peer in [host, *reached] if not peer.replica.identity.group}
-            if blank >= set(self.founders) and address == min(self.founders):
+            without_group = {
+                peer.address for peer in [host, *reached] if not peer.replica.identity.group
+            }
+            if without_group >= set(self.founders) and address == min(self.founders):
                 members = [
                     Member(
                         disk=self.hosts[founder].replica.identity.disk,
@@ -227,7 +229,7 @@
                     )
                     for founder in self.founders
                 ]
-                host.replica.receive(FormGroup(members=tuple(members)))
+                host.replica.receive(CreateGroup(members=tuple(members)))
 
     # -- requests ------------------------------------------------------------
 
@@ -285,8 +287,8 @@
 
 def _is_member(replica):
     """Return whether a replica is in its own membership and knows a leader."""
-    known = replica.raft.membership.find(replica.identity.disk)
-    return bool(replica.identity.group and known and replica.raft.leader)
+    member = replica.raft.membership.find(replica.identity.disk)
+    return bool(replica.identity.group and member and replica.raft.leader)
 
 
 __all__ = ('Host', 'MemoryFiles', 'Network', 'Reply')
--- a/tests/test_control/test_control_raftlog.py
+++ b/tests/test_control/test_control_raftlog.py
@@ -43,5 +43,5 @@
         assert log.total_bytes == sum(len(entry.payload) for entry in log.entries)
         middle = (log.snapshot.index + log.last_index) // 2
         assert log.bytes_between(middle + 1, log.last_index) == sum(
-            len(entry.payload) for entry in log.between(middle + 1, log.last_index)
+            len(entry.payload) for entry in log.entries_between(middle + 1, log.last_index)
         )
--- a/tests/test_control/test_control_replica.py
+++ b/tests/test_control/test_control_replica.py
@@ -188,7 +188,7 @@
     """Under crashes, partitions and lost packets, revisions stay totally ordered."""
     network = Network(seed=seed)
     acknowledged = network.apply_many(1)
-    network.drop = 0.1
+    network.drop_rate = 0.1
     for _ in range(25):
         address = network.random.choice(sorted(network.hosts))
         fault = network.random.choice(['crash', 'isolate', 'heal', 'none'])
@@ -205,7 +205,7 @@
         revisions = [replica.state_machine.state.revision for replica in network.running()]
         assert max(revisions) == acknowledged
     network.cuts.clear()
-    network.drop = 0
+    network.drop_rate = 0
     network.run(10)
     assert network.read_revision() == acknowledged
     texts = {replica.state_machine.snapshot() for replica in network.running()}
