--- a/ringseam/backends.py
+++ b/ringseam/backends.py
@@ -1,4 +1,4 @@
-"""Backend servers that report themselves: reports, views and what is newer."""
+"""Reports of backend servers, their order, and a gateway's view of the servers."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from ringseam.routes import ServiceName
 from ringseam.zones import DrainedZones
 
-#: How many servers that have left are remembered.
+#: Maximum number of departed servers that are remembered.
 MAX_DEPARTED = 4096
-#: The sequence of a leave, which carries none: above all others.
+#: Sequence of departure reports, which carry none of their own; above all others.
 _LAST_SEQUENCE = 2**53
 
 
 class BackendState(enum.Enum):
-    """Whether a backend server takes new work."""
+    """Lifecycle state of a backend server; only ``ready`` ones take new work."""
 
     ready = 'ready'
     draining = 'draining'
@@ -26,7 +26,7 @@
 
 
 class BackendReport(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """What a backend server says of itself; ``sequence`` grows."""
+    """Report of a backend server on itself; ``sequence`` increases with each report."""
 
     instance: BackendId
     service: ServiceName
@@ -46,37 +46,37 @@
     address: str
     zone: str
     draining: bool = False
-    #: Whether it is too far behind to decide for others.
+    #: Whether its event loop lags too far behind to decide for other gateways.
     busy: bool = False
 
 
 @dataclass(kw_only=True)
 class BackendEntry:
-    """A report, when it came and the change number it got."""
+    """A report with the time of its receipt and its change number."""
 
     report: BackendReport
     received_at: float
     change: int
 
 
-#: A server only ever moves on in this order.
+#: States are passed in this order only.
 _PROGRESS = types.MappingProxyType(
     {BackendState.ready: 0, BackendState.draining: 1, BackendState.gone: 2},
 )
 
 
 def supersedes(report: BackendReport, known: BackendReport) -> bool:
-    """Return whether a report is newer than a known one of the same server.
+    """Return whether a report is newer than a known one of the same lifetime.
 
-    Reports may be seconds late; one that says less than a later one is
-    ignored, and a server that has begun to leave doesn't come back.
+    Reports may arrive seconds late and out of order. A server that has begun to drain
+    never becomes ready again.
     """
     progress = _PROGRESS[report.state] - _PROGRESS[known.state]
     return progress > 0 or (progress == 0 and report.sequence > known.sequence)
 
 
 def is_visible_change(report: BackendReport, known: BackendReport) -> bool:
-    """Return whether followers of the directory must hear of a report."""
+    """Return whether a report differs in a way that gateways must learn of."""
     return (
         report.state is not known.state
         or report.address != known.address
@@ -86,7 +86,7 @@
 
 
 def departure_report(instance: BackendId) -> BackendReport:
-    """Return what a lifetime that has ended says of itself: nothing comes after it."""
+    """Return the final report of an ended lifetime, which supersedes all others."""
     return BackendReport(
         instance=instance,
         service=ServiceName(''),
@@ -99,11 +99,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BackendIndex:
-    """What a view is asked for by something else than the name of a server."""
+    """Lookup tables of a view by service and by address."""
 
     #: Servers that take new work.
     by_service: dict[ServiceName, list[BackendReport]]
-    #: Servers that have said in an answer to this gateway that they leave.
+    #: Servers that announced in an answer to this gateway that they are leaving.
     leaving: dict[ServiceName, list[BackendId]]
     #: Availability zones by address.
     zones: dict[str, str]
@@ -111,24 +111,24 @@
 
 @dataclass(kw_only=True)
 class BackendView:
-    """The backend servers that a gateway believes in."""
+    """The backend servers known to a gateway."""
 
     backends: dict[BackendId, BackendReport] = field(default_factory=dict)
-    #: The lifetime that is believed in under each name.
+    #: The current lifetime of each server, by name.
     lifetimes: dict[str, BackendId] = field(default_factory=dict)
-    #: Worked out from the backends when it is next asked for; None: not since a change.
-    #: A directory comes whole: worked out after each of 1,000 reports it took 0.26 s.
+    #: Rebuilt on the next lookup after a change; None while it is out of date. A full
+    #: directory arrives at once, and a rebuild after each of 1,000 reports took 0.26 s.
     index: BackendIndex | None = None
-    #: Servers that have left; a late report doesn't bring them back.
+    #: Departed servers; late reports of them are ignored.
     departed: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(kept=MAX_DEPARTED))
-    #: Servers that have said in an answer that they leave; a report that came by another
-    #: way and calls them ready doesn't bring them back.
+    #: Servers that announced in an answer that they are leaving. A report from the
+    #: directory that calls them ready doesn't change that.
     leaving: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(kept=MAX_DEPARTED))
     #: Availability zones whose servers take no new work.
     drained: DrainedZones = field(default_factory=DrainedZones)
 
     def drain_zones(self, zones: DrainedZones) -> bool:
-        """Let the servers of just these zones take no new work; False: it isn't newer."""
+        """Set the drained zones, whose servers take no new work; False if not newer."""
         if zones.change <= self.drained.change:
             return False
         self.drained = zones
@@ -136,10 +136,10 @@
         return True
 
     def apply(self, report: BackendReport) -> bool:
-        """Take in a report; True when it changed what is believed.
+        """Apply a report; return whether it was newer than what was known.
 
-        The first report of a later start ends the server's earlier lifetime, and a
-        late one of an earlier start changes nothing.
+        The first report of a new lifetime ends the server's previous one, and late
+        reports of a previous lifetime are ignored.
         """
         if report.instance in self.departed or self._is_superseded_lifetime(report.instance):
             return False
@@ -156,24 +156,24 @@
         return True
 
     def remove_for_good(self, instance: BackendId) -> None:
-        """Forget a server for good."""
+        """Remove a server and ignore later reports of this lifetime."""
         self.departed.add(instance)
         self.remove(instance)
 
     def mark_leaving(self, instance: BackendId) -> None:
-        """Hear from a server itself that it takes no new work; what it runs goes on."""
+        """Record a server's announcement that it takes no new work; its calls continue."""
         if instance not in self.leaving:
             self.leaving.add(instance)
             self.index = None
 
     def remove(self, instance: BackendId) -> None:
-        """Forget a server that fell silent; it may come back."""
+        """Remove a silent server; a newer report adds it again."""
         if self.backends.pop(instance, None) is not None:
             self.lifetimes.pop(name_of(instance), None)
             self.index = None
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget all servers but these."""
+        """Remove all servers except these."""
         for instance in set(self.backends) - instances:
             self.remove(instance)
 
@@ -182,12 +182,12 @@
         return self._current_index().by_service.get(service, [])
 
     def leaving_servers(self, service: ServiceName) -> list[BackendId]:
-        """Return the servers of a service that have said in an answer that they leave."""
+        """Return the servers of a service that announced that they are leaving."""
         return self._current_index().leaving.get(service, [])
 
     @property
     def zones(self) -> dict[str, str]:
-        """Return the availability zones by address."""
+        """Return the availability zones of servers by address."""
         return self._current_index().zones
 
     def _is_superseded_lifetime(self, instance: BackendId) -> bool:
--- a/ringseam/contents.py
+++ b/ringseam/contents.py
@@ -1,4 +1,4 @@
-"""Contents: what makes two attempts of clients the same work, whatever their ids."""
+"""Content ids: identify requests for the same work, regardless of their request ids."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
     from ringseam.web.server import Request
 
-#: Names a request by its caller, its address and its body; hexadecimal digits.
+#: Identifies a request by its caller, address and body; hexadecimal digits.
 ContentId = NewType('ContentId', str)
 
-#: 96 bits: two of a million contents are the same by chance once in 10^17 times.
+#: 96 bits: the chance of a collision among a million contents is about 10^-17.
 _ID_HEX_DIGITS = 24
 _LENGTH_BYTES = 4
 
 
 def keyed_content_id(address: Iterable[str], body: bytes, *, secret: bytes) -> ContentId:
-    """Return the identity of a body that an address is asked for.
+    """Return the content id of a request body for an address.
 
-    It is logged and sent between hosts, so it is keyed by the cluster's secret: nobody
-    else can tell a guessed body by it. The body is read once: 1.0 ms per MB, 6 us for
-    a body of 1 kB, on one core.
+    The id is logged and sent between hosts. It is keyed by the cluster's secret, so that
+    nobody else can use it to check a guess of the body. Hashing takes 1.0 ms per MB on
+    one core, 6 us for a body of 1 kB.
 
-    :param address: who asks, and where.
+    :param address: the caller and the requested resource, in parts.
     """
     digest = hmac.new(secret, digestmod='sha256')
     for part in address:
-        # The length keeps parts apart: 'a', 'bc' is not 'ab', 'c'.
+        # The length prefix keeps ('a', 'bc') and ('ab', 'c') distinct.
         text = part.encode('utf-8', 'surrogateescape')
         digest.update(len(text).to_bytes(_LENGTH_BYTES, 'big'))
         digest.update(text)
@@ -38,12 +38,12 @@
 
 
 def request_content_id(request: Request, *, host: str, account: str, secret: bytes) -> ContentId:
-    """Return the identity of what a client asks for.
+    """Return the content id of a client's request.
 
-    The same body sent again by the same account to the same address has the same one,
-    under any id and at any gateway.
+    The same body sent again by the same client account to the same address has the same
+    id at every gateway, whatever its request id.
 
-    :param host: the host that the route was selected by.
+    :param host: the host name by which the route was selected.
     :param account: the client account's name; empty on routes without accounts.
     """
     address = (account, request.method, host, request.target)
--- a/ringseam/evidence.py
+++ b/ringseam/evidence.py
@@ -1,8 +1,8 @@
-"""Evidence on contents that end servers: what was under way on those that ended.
+"""Evidence on request contents that crash servers: what ran on a server when it crashed.
 
-An end is the unplanned end of one lifetime of a server; all that was under way on it is
-suspected, as nobody can tell from outside which request it was. What follows from it is
-:mod:`ringseam.quarantine`'s.
+A crash is the unplanned end of one lifetime of a server. Every content in flight on the
+server becomes a suspect, because the one that caused the crash can't be told from outside.
+:mod:`ringseam.quarantine` decides what follows from the evidence.
 """
 
 from __future__ import annotations
@@ -19,68 +19,70 @@
     from ringseam.lifetimes import BackendId
     from ringseam.quarantinemessages import ServerCrash, Suspect
 
-#: Gateways that tell of one end agree on its time to this, seconds; a server that has
-#: ended is back after a second or more.
+#: Reports of one crash by several gateways differ in time by less than this, seconds. A
+#: crashed server takes a second or more to restart, so its next crash is further away.
 SAME_CRASH_TOLERANCE_S = 0.8
-#: Ends count for this long, seconds: a client that repeats does so within minutes.
+#: Age at which a crash is discarded, seconds: clients that resend do so within minutes.
 EVIDENCE_RETENTION_S = 600.0
-#: A content that was served whole isn't suspected for this long, seconds. What is asked
-#: for often, such as a fixed signal, is under way at each end and behind none; what is
-#: asked for less often is at three ends by chance too rarely to need it.
+#: A content isn't suspected for this long after a server answered it, seconds. Popular
+#: contents, such as a fixed signal, are in flight at every crash without causing any; less
+#: popular ones are in flight at three crashes by chance too rarely to need an exemption.
 RECENT_ANSWER_S = 20.0
-#: So many reports of a lifetime show that it lives, so long after its end and so far
-#: apart, seconds. What it sent before may come late by seconds, and all at once when a
-#: cut has held it up; a server that lives goes on reporting.
+#: A crash is refuted by this many reports of the same lifetime, the first one this long
+#: after the crash and each at this distance from the one before, seconds. Reports sent
+#: before the crash can arrive seconds late, and all at once after a network partition; a
+#: live server keeps reporting.
 REPORTS_TO_REFUTE = 2
 REFUTE_DELAY_S = 5.0
 REPORT_SPACING_S = 1.0
-#: How many ends, suspects of one end and served contents are remembered. At 100 bytes
-#: each that is 7 MB at most, while every server of a large fleet ends.
+#: Bounds on memory: at about 100 bytes per item at most 7 MB, even if every server of a
+#: large fleet crashes.
 MAX_CRASHES = 128
 MAX_SUSPECTS_PER_CRASH = 512
 MAX_RECENT_ANSWERS = 4096
 
-#: Names one end of a server.
+#: Identifies one crash of a server.
 EndId = NewType('EndId', str)
 
 
 @dataclass(kw_only=True)
 class RecentAnswers:
-    """Contents that servers have run and answered, by the version of their software."""
+    """Times of the latest answers, by content and software version of the server."""
 
     answered_at: dict[tuple[ContentId, str], float] = field(default_factory=dict)
 
     def record(self, content: ContentId, software: str, now: float) -> None:
-        """Hear of an answer."""
+        """Record that a server answered a content with success."""
         self.answered_at.pop((content, software), None)
         self.answered_at[content, software] = now
         if len(self.answered_at) > MAX_RECENT_ANSWERS:
             self.answered_at.pop(next(iter(self.answered_at)))
 
     def contains(self, content: ContentId, software: str, now: float) -> bool:
-        """Return whether a content was answered a short while ago."""
+        """Return whether a server of this version answered the content recently."""
         return now - self.answered_at.get((content, software), float('-inf')) < RECENT_ANSWER_S
 
 
 @dataclass(kw_only=True)
 class CrashRecord:
-    """One end of a server; times are absolute seconds."""
+    """One crash of a server; times are in seconds of the local clock."""
 
-    #: The lifetime that gateways knew then.
+    #: The lifetime that the gateways knew at the time.
     instance: BackendId
     service: str
     software: str
     crashed_at: float
-    #: When a gateway last told of it.
+    #: When a gateway last reported the crash.
     last_told_at: float
-    #: Accounts by content.
+    #: Client accounts by content.
     suspects: dict[ContentId, str] = field(default_factory=dict)
-    #: How often the lifetime has reported since, and when it last did.
+    #: How many reports of the lifetime have counted against the crash.
     reports: int = 0
+    #: When the latest of them came.
     last_report_at: float = float('-inf')
 
     def record_report(self, now: float) -> bool:
-        """Hear a report of the lifetime; return whether it has not ended after all."""
+        """Count a report of the lifetime; return whether the crash is now refuted."""
         apart = now - self.last_report_at >= REPORT_SPACING_S
         if apart and now - self.crashed_at > REFUTE_DELAY_S:
             self.reports += 1
@@ -90,17 +92,17 @@
 
 @dataclass(kw_only=True)
 class Evidence:
-    """Ends of servers, with the contents that were under way there."""
+    """Crashes of servers, with the contents that were in flight on them."""
 
     crashes: dict[EndId, CrashRecord] = field(default_factory=dict)
     crashes_by_instance: dict[BackendId, set[EndId]] = field(default_factory=dict)
     crashes_by_content: dict[ContentId, set[EndId]] = field(default_factory=dict)
-    #: Contents that were under way at more than one crash.
+    #: Contents that were in flight at more than one crash.
     recurring: set[ContentId] = field(default_factory=set)
     recent_answers: RecentAnswers = field(default_factory=RecentAnswers)
 
     def record_crash(self, crash: ServerCrash, now: float) -> None:
-        """Hear from one gateway what was under way on a lifetime that ended."""
+        """Record one gateway's report of a crash and of what was in flight."""
         crash_id, record = self._find_or_add(crash, now - crash.age_ms / MS_PER_S)
         record.last_told_at = now
         for suspect in crash.suspects:
@@ -108,7 +110,7 @@
         self._expire(now)
 
     def remove_refuted(self, instance: BackendId, now: float) -> list[EndId]:
-        """Hear a report of a lifetime; return its ends that were none, now dropped."""
+        """Count a report of a lifetime; drop and return the crashes that it refutes."""
         refuted = [
             crash_id
             for crash_id in self.crashes_by_instance.get(instance, ())
@@ -119,23 +121,23 @@
         return refuted
 
     def record_answer(self, content: ContentId, software: str, now: float) -> None:
-        """Hear that a server has run a content and answered: it ends no such server."""
+        """Clear a content of all crashes of the software version that answered it."""
         self.recent_answers.record(content, software, now)
         for crash_id in list(self.crashes_by_content.get(content, ())):
             if self.crashes[crash_id].software == software:
                 self._remove_suspect(content, crash_id)
 
     def forget_content(self, content: ContentId) -> None:
-        """Let a content begin anew, without an crash."""
+        """Clear a content of all crashes."""
         for crash_id in list(self.crashes_by_content.get(content, ())):
             self._remove_suspect(content, crash_id)
 
     def crashes_of(self, content: ContentId) -> set[EndId]:
-        """Return the ends that a content was under way at."""
+        """Return the crashes that a content is suspected of."""
         return self.crashes_by_content.get(content, set())
 
     def is_ambiguous(self, content: ContentId, crashes: Iterable[EndId]) -> bool:
-        """Return whether another content was under way at all these ends."""
+        """Return whether another content is a suspect of all these crashes too."""
         others_by_crash = [
             self.crashes[crash_id].suspects.keys() - {content} for crash_id in crashes
         ]
@@ -144,10 +146,10 @@
     # -- helpers ------------------------------------------------------------
 
     def _find_or_add(self, crash: ServerCrash, at: float) -> tuple[EndId, CrashRecord]:
-        """Return what is known of an crash, from this gateway or another one.
+        """Return the record of a crash, which another gateway may have reported before.
 
-        A server that has started again may take requests before its new lifetime is
-        known, so an end that is later by far is another one of the same name.
+        A restarted server can receive requests before its new lifetime is known. A crash
+        that is reported under the same lifetime but at a later time is a separate one.
         """
         for known in self.crashes_by_instance.get(crash.instance, ()):
             if abs(self.crashes[known].crashed_at - at) < SAME_CRASH_TOLERANCE_S:
--- a/ringseam/lifetimes.py
+++ b/ringseam/lifetimes.py
@@ -1,50 +1,50 @@
-"""Lifetimes of backend servers: a name, and the moment of a start under it.
+"""Lifetimes of backend servers: the name of a server and the time of its start.
 
-A server may start again under the name that it had. It then holds and knows nothing
-of before, and counts its reports anew. So all that is believed of a server is kept by
-its lifetime, never by its name; what belongs to an earlier one ends with it.
+A restarted server keeps its name but loses its state and numbers its reports from the
+beginning. So everything known about a server is stored by lifetime, never by name, and is
+dropped when that lifetime ends.
 """
 
 from __future__ import annotations
 
 from typing import NewType
 
-#: One start of one backend server. Its name alone where the server doesn't say when it
-#: started, else the name and the Unix millisecond of the start.
+#: Identifies one lifetime of a backend server: its name and the Unix time of its start in
+#: milliseconds, or the name alone if the server doesn't report its start.
 BackendId = NewType('BackendId', str)
 
-#: Stands between both; a name that has it is refused, as no path of a URL does.
+#: Separates name and start. Names that contain it are refused; no URL path contains it.
 SEPARATOR = '#'
 
 
 def backend_id(name: str, start_ms: int) -> BackendId:
-    """Return the lifetime of a start.
+    """Return the identifier of a lifetime.
 
-    :param start_ms: Unix time in ms; 0 stands for a server that doesn't tell it.
+    :param start_ms: Unix time in ms; 0 if the server doesn't report it.
     """
     return BackendId(f'{name}{SEPARATOR}{start_ms}' if start_ms else name)
 
 
 def name_of(backend: str) -> str:
-    """Return the name under which a lifetime's server is called."""
+    """Return the name of a lifetime's server."""
     return backend.partition(SEPARATOR)[0]
 
 
 def start_ms_of(backend: str) -> int:
-    """Return when a lifetime began, Unix time in ms; 0: unknown."""
+    """Return the start of a lifetime, Unix time in ms; 0 if unknown."""
     return int(backend.partition(SEPARATOR)[2] or 0)
 
 
 class EndedLifetimes:
-    """The latest lifetime that has ended under each name; oldest ends first."""
+    """The latest ended lifetime of each server, ordered by when the end was recorded."""
 
     def __init__(self, *, kept: int) -> None:
-        """Remember the ends of ``kept`` names."""
+        """Keep the latest ``kept`` servers."""
         self.kept = kept
         self.start_ms: dict[str, int] = {}
 
     def add(self, backend: str) -> None:
-        """Hear that a lifetime has ended."""
+        """Record the end of a lifetime."""
         name = name_of(backend)
         latest = max(start_ms_of(backend), self.start_ms.pop(name, 0))
         self.start_ms[name] = latest
@@ -52,10 +52,10 @@
             self.start_ms.pop(next(iter(self.start_ms)))
 
     def __contains__(self, backend: str) -> bool:
-        """Return whether a lifetime has ended, it or a later one under its name.
+        """Return whether this lifetime or a later one of the same server has ended.
 
-        A clock that was set back makes a new start look like an earlier one; it is
-        taken for a late message then, as the two can't be told apart.
+        After a server's clock was set back, a new lifetime looks like an earlier one. It
+        is then treated as ended, as it can't be told from a late message.
         """
         latest = self.start_ms.get(name_of(backend))
         return latest is not None and start_ms_of(backend) <= latest
--- a/ringseam/quarantine.py
+++ b/ringseam/quarantine.py
@@ -1,6 +1,7 @@
-"""Quarantine: which contents end the servers that run them; a plain class.
+"""Quarantine of request contents that crash the servers that run them.
 
-A content that ends each server is a query of death (poison message).
+A content that crashes every server is known as a query of death or poison message. The
+classes here hold state only; they do no input or output.
 """
 
 from __future__ import annotations
@@ -20,95 +21,100 @@
     from ringseam.lifetimes import BackendId
     from ringseam.quarantinemessages import ServerCrash
 
-#: Under so many ends a content is suspected: it runs on trial only, one at a time. One
-#: end is no sign, as most contents on a server that ends have nothing to do with it.
+#: A suspect of this many crashes only runs as a trial, one run at a time. A single crash
+#: proves nothing: most contents in flight on a crashing server are harmless.
 CRASHES_TO_SUSPECT = 2
-#: Under so many ends a content is quarantined: three servers are what it may cost.
+#: A suspect of this many crashes is quarantined, which limits its cost to three servers.
 CRASHES_TO_QUARANTINE = 3
-#: Contents that share all their ends can't be told apart and are tried one by one; under
-#: so many ends one of them is quarantined all the same.
+#: Contents that share all their crashes are ambiguous and run as trials, one by one. After
+#: this many crashes one of them is quarantined although it is still ambiguous.
 CRASHES_TO_QUARANTINE_AMBIGUOUS = 5
-#: An account with so many contents quarantined at a service within this time, seconds, is
-#: confined there, so that a hundred such bodies take few servers from the others. Below
-#: that, 6 servers end in 30 s, each away for 2 to 5 s: one at a time in the mean.
+#: A client account with this many contents quarantined at a service within this window,
+#: seconds, is confined there, so that a hundred crashing bodies cost the other accounts few
+#: servers. Below the threshold 6 servers crash in 30 s, each down for 2 to 5 s, so one is
+#: down at a time on average.
 VERDICTS_TO_CONFINE = 3
 CONFINEMENT_WINDOW_S = 30.0
-#: Gateways report one end within this time of each other, seconds: a connection that is
-#: refused takes a millisecond, a call to the leader a few, a busy gateway 0.1.
+#: Reports of one crash by several gateways arrive within this time, seconds: a refused
+#: connection takes a millisecond, a call to the leader a few, a busy gateway 0.1.
 REPORT_SETTLE_S = 0.15
-#: Of a content that was at so many ends that another one explains, fewer tell: it was
-#: never cleared of them, and a service that loses servers to two at once can't wait.
+#: A content with at least this many crashes that are attributed to another one is
+#: quarantined after fewer crashes of its own: it was never cleared of the former, and a
+#: service that loses servers to two contents at once can't wait.
 EXPLAINED_CRASHES = 2
-#: A verdict is put to the test after this long, and after twice as long each further
-#: time, seconds: one server an hour at first.
+#: A verdict is lifted for a retest after this long, seconds, and after twice as long each
+#: further time. A retest can cost a server: one per hour at first.
 RETEST_AFTER_S = 3600.0
-#: How many verdicts are remembered, of 100 bytes each.
+#: Maximum number of stored verdicts, of about 100 bytes each.
 MAX_VERDICTS = 256
 
 
 class TrialState(enum.Enum):
-    """What becomes of a request whose content may be suspected."""
+    """Decision on a request whose content may be suspected."""
 
-    #: It isn't suspected, or this is the only run of it.
+    #: The content isn't suspected, or no other trial run of it is under way.
     granted = 'granted'
-    #: Another run of it, or of one that can't be told from it, is under way.
+    #: Another run of it, or of a content that shares a crash with it, is under way.
     busy = 'busy'
     quarantined = 'quarantined'
 
 
 @dataclass(kw_only=True)
 class Verdict:
-    """A quarantined content, and the ends that tell it."""
+    """A quarantined content and the crashes that led to it."""
 
     service: str
     account: str
-    #: The versions of the software that it ended.
+    #: The software versions that it crashed.
     software: frozenset[str]
     quarantined_at: float
-    #: None, where the verdict was recorded by an earlier leader.
+    #: Empty if the verdict was recorded by an earlier leader.
     crashes: set[EndId] = field(default_factory=set)
-    #: How many ends it took.
+    #: The number of crashes that was required; with fewer left the verdict is withdrawn.
     crashes_needed: int = CRASHES_TO_QUARANTINE
-    #: How often it was put to the test since it was first quarantined.
+    #: How often the verdict was lifted for a retest.
     lifts: int = 0
 
     def is_recent(self, now: float) -> bool:
-        """Return whether it fell a short while ago, and under this leader."""
+        """Return whether this leader quarantined the content within the window."""
         return bool(self.crashes) and now - self.quarantined_at < CONFINEMENT_WINDOW_S
 
 
 @dataclass(kw_only=True)
 class Quarantine:
-    """Evidence, suspects and verdicts; ``version`` grows with what others must hear."""
+    """Evidence, suspects and verdicts.
+
+    ``version`` increases with every change that the gateways must learn of.
+    """
 
     evidence: Evidence = field(default_factory=Evidence)
     verdicts: dict[ContentId, Verdict] = field(default_factory=dict)
-    #: Verdicts that are put to the test: one more end brings them back.
+    #: Verdicts lifted for a retest; one more crash reinstates them.
     lifted: dict[ContentId, Verdict] = field(default_factory=dict)
-    #: Until when a run on trial counts as under way.
+    #: When a trial run counts as finished at the latest.
     trial_deadlines: dict[ContentId, float] = field(default_factory=dict)
     suspects: frozenset[ContentId] = frozenset()
-    #: Accounts, each with a service, that are kept to a few servers.
+    #: Pairs of an account and the service on which it is confined to a few servers.
     confined: frozenset[tuple[str, str]] = frozenset()
-    #: The contents of :attr:`verdicts` when the version last grew.
+    #: The contents of :attr:`verdicts` at the latest change of the version.
     published: frozenset[ContentId] = frozenset()
     version: int = 0
 
     # -- evidence -----------------------------------------------------------
 
     def record_crash(self, crash: ServerCrash, now: float) -> None:
-        """Hear from one gateway what was under way on a lifetime that ended."""
+        """Record one gateway's report of a crash and of what was in flight."""
         self.evidence.record_crash(crash, now)
         self._update_suspects()
 
     def record_report(self, instance: BackendId, now: float) -> None:
-        """Hear that a lifetime reports itself: if it goes on to, it hasn't ended."""
+        """Record a report of a server: if it keeps reporting, it hasn't crashed."""
         for crash_id in self.evidence.remove_refuted(instance, now):
             self._withdraw_verdicts(crash_id)
         self._update_suspects()
 
     def is_affected_by(self, report: BackendReport) -> bool:
-        """Return whether a server's report may change anything here."""
+        """Return whether a server's report may change the quarantine."""
         if report.instance in self.evidence.crashes_by_instance:
             return True
         return any(
@@ -117,7 +123,7 @@
         )
 
     def record_answer(self, content: ContentId, software: str, now: float) -> None:
-        """Hear that a server has run a content and answered: it ends no such server."""
+        """Record that a server answered a content: it doesn't crash this version."""
         self.evidence.record_answer(content, software, now)
         verdict = self.verdicts.get(content) or self.lifted.get(content)
         if verdict is not None and (software in verdict.software or content in self.lifted):
@@ -126,10 +132,13 @@
         self.trial_deadlines.pop(content, None)
         self._update_suspects()
 
-    # -- what follows -------------------------------------------------------
+    # -- decisions ----------------------------------------------------------
 
     def evaluate(self, now: float) -> list[ContentId]:
-        """Quarantine whose ends tell it, once all gateways have told of them."""
+        """Quarantine contents with enough crashes, once all gateways have reported them.
+
+        Return the newly quarantined contents.
+        """
         quarantined = []
         for content in sorted(self.suspects | self._confined_contents()):
             crash_ids = self._unexplained(content)
@@ -151,10 +160,10 @@
         return quarantined
 
     def request_run(self, content: ContentId, now: float, lasts_s: float) -> TrialState:
-        """Return whether a content may run now; what is suspected runs alone.
+        """Return whether a content may run now; a suspect gets one trial run at a time.
 
-        Of contents that share an end one runs at a time, so that the next end tells
-        them apart.
+        Of contents that share a crash only one runs at a time, so that the next crash
+        shows which of them is the cause.
         """
         if content in self.verdicts:
             return TrialState.quarantined
@@ -163,7 +172,7 @@
         unexplained = set(self._unexplained(content))
         needed = self._crashes_needed(content, unexplained)
         if needed and len(unexplained) >= needed:
-            # It is about to be judged.
+            # The next evaluation will quarantine it.
             return TrialState.busy
         for other, until in list(self.trial_deadlines.items()):
             if until <= now:
@@ -174,19 +183,19 @@
         return TrialState.granted
 
     def finish_trial(self, content: ContentId) -> None:
-        """Hear that a run on trial is over."""
+        """Record that a trial run is over."""
         self.trial_deadlines.pop(content, None)
 
     def restore(self, content: ContentId, verdict: Verdict) -> None:
-        """Take over a verdict that was recorded."""
+        """Restore a recorded verdict."""
         self.verdicts[content] = verdict
         self._update_suspects()
 
     def update_software(self, service: str, software: Collection[str]) -> list[ContentId]:
-        """Hear which versions a service runs; return what is put to the test.
+        """Record the software versions of a service; return contents due for a retest.
 
-        Once none is left of the versions that a content ended, it may run once: a new
-        release may bear it.
+        A verdict is lifted once the service runs none of the versions that the content
+        crashed, because a new release may handle it.
         """
         lifted = [
             content
@@ -202,7 +211,7 @@
     # -- helpers ------------------------------------------------------------
 
     def _unexplained(self, content: ContentId) -> list[EndId]:
-        """Return the ends of a content that no quarantined one was under way at."""
+        """Return the crashes of a content that have no quarantined suspect besides it."""
         return [
             crash_id
             for crash_id in self.evidence.crashes_of(content)
@@ -214,17 +223,17 @@
         ]
 
     def _is_suspected(self, content: ContentId) -> bool:
-        """Return whether a content may run on trial only.
+        """Return whether a content may only run as a trial.
 
-        One that was at three ends does so until it is served, even when a quarantined
-        one explains them: it may have ended some of these servers itself.
+        A suspect of three crashes stays one until a server answers it, even if a
+        quarantined content explains them: it may have caused some of them itself.
         """
         if len(self.evidence.crashes_of(content)) >= CRASHES_TO_QUARANTINE:
             return True
         return len(self._unexplained(content)) >= CRASHES_TO_SUSPECT
 
     def _crashes_needed(self, content: ContentId, crash_ids: Collection[EndId]) -> int:
-        """Return how many ends quarantine a content; 0 while that can't be told."""
+        """Return how many crashes quarantine a content; 0 while it is ambiguous."""
         if content in self.lifted or self._is_only_suspect(content, crash_ids):
             return 1
         if len(crash_ids) < CRASHES_TO_QUARANTINE_AMBIGUOUS and self.evidence.is_ambiguous(
@@ -235,7 +244,7 @@
         return CRASHES_TO_SUSPECT if explained >= EXPLAINED_CRASHES else CRASHES_TO_QUARANTINE
 
     def _is_only_suspect(self, content: ContentId, crash_ids: Collection[EndId]) -> bool:
-        """Return whether an end has but this content of an account that is confined."""
+        """Return whether it is a confined account's only suspect of some crash."""
         for crash_id in crash_ids:
             record = self.evidence.crashes[crash_id]
             account = record.suspects[content]
@@ -274,7 +283,7 @@
         lifts = 0
         earlier = self.lifted.pop(content, None)
         if earlier is not None:
-            # A release that is taken back doesn't put it to the test again.
+            # Rolling back to an earlier release must not trigger another retest.
             software |= earlier.software
             lifts = earlier.lifts
         self.verdicts[content] = Verdict(
@@ -308,7 +317,7 @@
         self.evidence.forget_content(content)
 
     def _withdraw_verdicts(self, crash_id: EndId) -> None:
-        """Take back verdicts that too few ends are left for."""
+        """Withdraw verdicts that have too few crashes left without this one."""
         for content, verdict in list(self.verdicts.items()):
             if crash_id in verdict.crashes:
                 verdict.crashes.discard(crash_id)
@@ -316,7 +325,7 @@
                     self.verdicts.pop(content)
 
     def _update_suspects(self) -> None:
-        """Work out who is suspected, and count a change that others must hear of."""
+        """Recompute the suspects; increase the version if gateways must learn of it."""
         before = (self.suspects, self.published)
         self.suspects = frozenset(
             content
--- a/ringseam/quarantinemessages.py
+++ b/ringseam/quarantinemessages.py
@@ -1,4 +1,4 @@
-"""Messages on contents that end servers: evidence to the leader, verdicts from it."""
+"""Messages on contents that crash servers: evidence to the leader, verdicts from it."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 
 
 class Suspect(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """A content that was under way on a server when it ended."""
+    """A content that was in flight on a server when it crashed."""
 
     content: ContentId
     account: str = ''
 
 
 class ServerCrash(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """What one gateway had under way on a lifetime that ended unplanned."""
+    """What one gateway had in flight on a server that crashed."""
 
     instance: BackendId
     service: str
     software: str = ''
     suspects: tuple[Suspect, ...] = ()
-    #: How long ago the gateway saw it.
+    #: Time since the gateway detected the crash.
     age_ms: int = 0
 
 
 class CrashReport(Message, frozen=True, kw_only=True):
-    """Ends that a gateway has seen."""
+    """Crashes that a gateway has detected."""
 
     ends: tuple[ServerCrash, ...]
 
 
 class ServedReport(Message, frozen=True, kw_only=True):
-    """Servers of a version have run a content and answered."""
+    """Report that a server of this software version answered a content with success."""
 
     content: ContentId
     software: str
 
 
 class TrialRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Ask whether a suspected content may run; ``over``: its run has ended."""
+    """Request a trial run of a suspected content, or with ``over`` report its end."""
 
     content: ContentId
     lasts_ms: int = 0
@@ -52,36 +52,36 @@
 
 
 class Heard(Tagged, frozen=True, kw_only=True):
-    """The leader has taken it in."""
+    """The leader has recorded the report."""
 
 
 class TrialAnswer(Tagged, frozen=True, kw_only=True):
-    """What becomes of the content, as :class:`ringseam.quarantine.TrialState` says."""
+    """The decision; ``state`` is a value of :class:`ringseam.quarantine.TrialState`."""
 
     state: str
 
 
 class EvidenceReply(Message, frozen=True, kw_only=True):
-    """Whether the leader has heard, or where it may be."""
+    """Acknowledgement of a report, or a redirect to the leader."""
 
     reply: Union[Heard, Redirect]
 
 
 class TrialReply(Message, frozen=True, kw_only=True):
-    """What becomes of a content, or where the leader may be."""
+    """Decision on a trial run, or a redirect to the leader."""
 
     reply: Union[TrialAnswer, Redirect]
 
 
 class QuarantineSnapshot(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """All that gateways hold to."""
+    """The complete quarantine state that gateways enforce."""
 
     version: int
     #: When each content was quarantined, Unix time in ms.
     quarantined: dict[ContentId, int] = msgspec.field(default_factory=dict)
-    #: Contents that run on trial only.
+    #: Suspected contents, which may only run as trials.
     suspects: tuple[ContentId, ...] = ()
-    #: Accounts, each with a service, that are kept to one server.
+    #: Pairs of an account and the service on which it is confined to one server.
     confined: tuple[tuple[str, str], ...] = ()
 
 
--- a/ringseam/tries.py
+++ b/ringseam/tries.py
@@ -1,8 +1,8 @@
-"""The tries of one piece of work, whichever way its servers are reached.
+"""Retry loop of one unit of work, shared by entries and gateways.
 
-An entry reaches a backend server through the agent beside it, a gateway calls it
-directly. Both send to one server after another; what may follow a try, and what
-it takes from the budget of retries, is decided here for both.
+An entry reaches a backend server through the agent on the server's host, a gateway calls
+it directly. Both send to one server after another. This module decides for both whether
+another try may follow and whether it is charged to the retry budget.
 """
 
 from __future__ import annotations
@@ -14,101 +14,101 @@
 
 ServerT = TypeVar('ServerT')
 
-#: Tries that reached no server don't count; this many in a row of one piece of
-#: work end it, as its view of the servers is worth nothing then.
+#: Tries that reached no server don't count as sends. After this many of them for one unit
+#: of work the loop ends, because its view of the servers must be out of date.
 _UNSENT_TRIES = 4
 
 
 class TryResult(enum.Enum):
-    """How one try ended."""
+    """Result of one try."""
 
-    #: An answer was passed on, or nothing more may be sent.
+    #: An answer was passed on, or no further try is allowed.
     final = 'final'
-    #: No server has it, and none has spent time on it.
+    #: The work reached no server.
     unsent = 'unsent'
-    #: A server has said that it did not run it.
+    #: A server replied that it did not run the work.
     refused = 'refused'
-    #: It may have run, and there is no answer.
+    #: The work may have run, and there is no answer.
     lost = 'lost'
 
 
 class NextTry(enum.Enum):
-    """What may follow a try."""
+    """Whether another try may follow, and whether it is charged to the budget."""
 
     none = 'none'
-    #: It adds no load to what was planned.
+    #: Not charged: no server has received the work yet.
     free = 'free'
-    #: It is one more arrival and draws on the budget.
-    drawn = 'drawn'
+    #: Charged to the retry budget: it adds load to a server.
+    charged = 'drawn'
 
 
 @dataclass(kw_only=True)
 class TryRecord:
-    """The tries of one piece of work so far, and what they allow."""
+    """The tries of one unit of work so far."""
 
-    #: Whether it may run more than once.
+    #: Whether the work may run more than once.
     repeatable: bool
-    #: How many servers may get it.
+    #: Maximum number of servers that may receive the work.
     max_servers: int
-    #: The servers that were tried, by incarnation.
+    #: Incarnations of the servers that were tried.
     tried: set[str] = field(default_factory=set)
     sends: int = 0
     unsent: int = 0
-    #: Sends that may have run.
+    #: Sends without an answer whose work may have run.
     lost: int = 0
 
     @property
     def may_repeat(self) -> bool:
-        """Return whether another try may follow the one under way if it is lost."""
+        """Return whether another try may follow if the current one is lost."""
         return self.repeatable and self.sends + 1 < self.max_servers
 
-    def count(self, end: TryResult) -> NextTry:
-        """Count a try and return what may follow it."""
-        if end is TryResult.final:
+    def add(self, result: TryResult) -> NextTry:
+        """Add a try and return whether another one may follow."""
+        if result is TryResult.final:
             return NextTry.none
-        if end is TryResult.unsent:
+        if result is TryResult.unsent:
             self.unsent += 1
             return NextTry.free if self.unsent < _UNSENT_TRIES else NextTry.none
         self.sends += 1
-        if end is TryResult.lost:
+        if result is TryResult.lost:
             self.lost += 1
             if not self.repeatable:
                 return NextTry.none
-        return NextTry.drawn if self.sends < self.max_servers else NextTry.none
+        return NextTry.charged if self.sends < self.max_servers else NextTry.none
 
 
 class TryLoop(abc.ABC, Generic[ServerT]):
-    """Send one piece of work to one server after another until it is over."""
+    """Send a unit of work to one server after another until it is done."""
 
     def __init__(self, *, record: TryRecord) -> None:
-        """Go on from ``record``."""
+        """Continue from ``record``."""
         self.record = record
 
     async def run(self) -> None:
-        """Try until a try is final, nobody is left, or no more may follow."""
-        goes_on = True
-        while goes_on:
+        """Run tries until one is final, no server is left or no retry is allowed."""
+        may_continue = True
+        while may_continue:
             server = await self.choose()
             if server is None:
                 return
             self.record.tried.add(self.incarnation_of(server))
-            following = self.record.count(await self.send(server))
-            goes_on = following is NextTry.free or (
-                following is NextTry.drawn and self.take_retry()
+            next_try = self.record.add(await self.send(server))
+            may_continue = next_try is NextTry.free or (
+                next_try is NextTry.charged and self.take_retry()
             )
 
     @abc.abstractmethod
     async def choose(self) -> ServerT | None:
-        """Return the server of the next try; None when there is none, or no time."""
+        """Return the server for the next try; None if no server or no time is left."""
 
     @abc.abstractmethod
     def incarnation_of(self, server: ServerT) -> str:
-        """Return what tells this start of a server from others."""
+        """Return the incarnation of a server, which is unique to each of its starts."""
 
     @abc.abstractmethod
     async def send(self, server: ServerT) -> TryResult:
-        """Try once."""
+        """Send the work to a server and return the result."""
 
     @abc.abstractmethod
     def take_retry(self) -> bool:
-        """Take a retry from the budget; False when it is used up."""
+        """Take a retry from the budget; return False if it is exhausted."""
--- a/tests/test_contents.py
+++ b/tests/test_contents.py
@@ -1,4 +1,4 @@
-"""Contents: the same work under any id, and nothing else, has the same identity."""
+"""Content ids: equal for the same work under any request id, and different otherwise."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 parts = st.tuples(st.text(max_size=4), st.text(max_size=4), st.binary(max_size=8))
 
 
-def identity(parts=('acme', '/a/b', b'body'), *, attempt='r1', secret=b'key', method='POST'):
+def content_id(parts=('acme', '/a/b', b'body'), *, attempt='r1', secret=b'key', method='POST'):
     account, target, body = parts
     request = Request(
         method=method,
@@ -22,22 +22,22 @@
 
 
 @given(parts=parts, first=st.text(), second=st.text())
-def test_another_id_is_the_same_content(parts, first, second):
-    assert identity(parts, attempt=first) == identity(parts, attempt=second)
+def test_content_id_ignores_the_request_id(parts, first, second):
+    assert content_id(parts, attempt=first) == content_id(parts, attempt=second)
 
 
 @given(one=parts, other=parts)
-def test_contents_differ_when_anything_of_them_does(one, other):
-    assert (identity(one) == identity(other)) == (one == other)
+def test_content_id_depends_on_every_part(one, other):
+    assert (content_id(one) == content_id(other)) == (one == other)
 
 
-def test_text_that_moves_between_parts_makes_another_content():
-    assert identity(('ac', 'me/a', b'')) != identity(('acme', '/a', b''))
+def test_content_id_depends_on_the_boundaries_of_parts():
+    assert content_id(('ac', 'me/a', b'')) != content_id(('acme', '/a', b''))
 
 
-def test_an_identity_tells_nothing_without_the_secret():
-    assert identity(secret=b'one') != identity(secret=b'two')
+def test_content_id_depends_on_the_secret():
+    assert content_id(secret=b'one') != content_id(secret=b'two')
 
 
-def test_another_method_is_another_content():
-    assert identity(method='PUT') != identity(method='POST')
+def test_content_id_depends_on_the_method():
+    assert content_id(method='PUT') != content_id(method='POST')
--- a/tests/test_ledger/test_ledger_differential.py
+++ b/tests/test_ledger/test_ledger_differential.py
@@ -1,4 +1,4 @@
-"""The ledger against a naive version that keeps only a history."""
+"""The ledger against a reference implementation that replays a history."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass
 class NaiveLedger:
-    """Replay the whole history of a key for every question."""
+    """Replay the whole history of a key for every query."""
 
     history: list = field(default_factory=list)
 
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -1,4 +1,4 @@
-"""Lifetimes of servers that start again under their names."""
+"""Lifetimes of servers that restart under the same name."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 @given(st.text(st.characters(exclude_characters='#')), st.integers(0, 2**63 - 1))
-def test_name_and_start_are_read_back(name, born):
-    backend = backend_id(name, born)
-    assert (name_of(backend), start_ms_of(backend)) == (name, born)
+def test_name_and_start_round_trip(name, start_ms):
+    backend = backend_id(name, start_ms)
+    assert (name_of(backend), start_ms_of(backend)) == (name, start_ms)
 
 
 @given(st.lists(lifetimes, max_size=20), lifetimes)
-def test_ended_is_the_same_as_a_list_of_all_ends(ends, asked):
+def test_ended_lifetimes_match_a_list_of_all_ends(ends, asked):
     ended = EndedLifetimes(kept=100)
     for backend in ends:
         ended.add(backend)
-    naive = any(
+    expected = any(
         name_of(backend) == name_of(asked) and start_ms_of(backend) >= start_ms_of(asked)
         for backend in ends
     )
-    assert (asked in ended) is naive
+    assert (asked in ended) is expected
 
 
 def test_oldest_ends_are_forgotten():
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,8 +1,9 @@
-"""Which contents are suspected and quarantined, by plain evidence and no network.
+"""Suspicion and quarantine of contents, without a network.
 
-The load: one content ends each server 30 ms after it begins; its client asks again with
-new ids while 128 others are under way on each engine. Figures: three servers are what one
-content may cost, and whoever shared them with it is free once the verdict falls.
+The scenario: one content crashes each server 30 ms after it starts there, and its client
+resends it under new request ids while 128 other requests are in flight on each engine. One
+content may cost at most three servers, and the contents that were in flight with it are no
+longer suspected once it is quarantined.
 """
 
 import random
@@ -24,8 +25,8 @@
 )
 from ringseam.quarantinemessages import ServerCrash, Suspect
 
-GUILTY = 'guilty'
-SOON_S = 2 * REPORT_SETTLE_S
+CRASHING = 'guilty'
+STEP_S = 2 * REPORT_SETTLE_S
 
 
 def crash(instance, *contents, software='v1', service='s', account='acme', age_ms=0):
@@ -40,136 +41,136 @@
 
 
 class QuarantineHarness:
-    """A quarantine and the time that passes."""
+    """A quarantine with a manual clock."""
 
     def __init__(self):
         self.book = Quarantine()
         self.now = 0.0
 
-    def crash(self, *ends):
-        for one in ends:
+    def crash(self, *crashes):
+        for one in crashes:
             self.book.record_crash(one, self.now)
-        self.now += SOON_S
+        self.now += STEP_S
         return self.book.evaluate(self.now)
 
     def ask(self, content, lasts_s=5.0):
         return self.book.request_run(content, self.now, lasts_s)
 
 
-def test_third_end_quarantines():
+def test_third_crash_quarantines():
     harness = QuarantineHarness()
-    assert harness.crash(crash('a', GUILTY)) == []
-    assert harness.crash(crash('b', GUILTY)) == []
-    assert harness.crash(crash('c', GUILTY)) == [GUILTY]
-    assert harness.ask(GUILTY) is TrialState.quarantined
+    assert harness.crash(crash('a', CRASHING)) == []
+    assert harness.crash(crash('b', CRASHING)) == []
+    assert harness.crash(crash('c', CRASHING)) == [CRASHING]
+    assert harness.ask(CRASHING) is TrialState.quarantined
 
 
-def test_server_that_ends_again_before_its_new_start_is_known_has_ended_twice():
-    """Seen: one content ended servers that another one had ended just before. Both ends
-    bore one name, so the first was taken for the cause of the second as well."""
+def test_second_crash_before_the_new_lifetime_is_known_counts_separately():
+    """Guards against merging two crashes that are reported under the same lifetime: the
+    content behind the first crash was then blamed for the second one as well."""
     harness = QuarantineHarness()
     for server in 'abc':
         harness.crash(crash(server, 'other'))
     harness.now += 1.5
-    assert [harness.crash(crash(server, GUILTY)) for server in 'abc'] == [[], [], [GUILTY]]
+    assert [harness.crash(crash(server, CRASHING)) for server in 'abc'] == [[], [], [CRASHING]]
 
 
-def test_end_that_is_told_again_to_a_new_leader_is_one_end():
+def test_crash_reported_again_to_a_new_leader_counts_once():
     harness = QuarantineHarness()
     harness.now = 100
     for age_ms in (0, 0, 5000, 5100):
-        harness.book.record_crash(crash('a', GUILTY, age_ms=age_ms), harness.now)
+        harness.book.record_crash(crash('a', CRASHING, age_ms=age_ms), harness.now)
     assert len(harness.book.evidence.crashes) == 2
 
 
-def test_second_end_lets_it_run_on_trial_only_one_at_a_time():
+def test_after_the_second_crash_only_one_trial_runs_at_a_time():
     harness = QuarantineHarness()
-    harness.crash(crash('a', GUILTY))
-    assert [harness.ask(GUILTY), harness.ask(GUILTY)] == [TrialState.granted] * 2
-    harness.crash(crash('b', GUILTY))
-    assert [harness.ask(GUILTY), harness.ask(GUILTY)] == [TrialState.granted, TrialState.busy]
+    harness.crash(crash('a', CRASHING))
+    assert [harness.ask(CRASHING), harness.ask(CRASHING)] == [TrialState.granted] * 2
+    harness.crash(crash('b', CRASHING))
+    assert [harness.ask(CRASHING), harness.ask(CRASHING)] == [TrialState.granted, TrialState.busy]
 
 
-def test_trial_that_nobody_concludes_is_over_at_its_deadline():
+def test_unfinished_trial_expires_at_its_deadline():
     harness = QuarantineHarness()
-    harness.crash(crash('a', GUILTY))
-    harness.crash(crash('b', GUILTY))
-    harness.ask(GUILTY, lasts_s=5)
+    harness.crash(crash('a', CRASHING))
+    harness.crash(crash('b', CRASHING))
+    harness.ask(CRASHING, lasts_s=5)
     harness.now += 5
-    assert harness.ask(GUILTY) is TrialState.granted
+    assert harness.ask(CRASHING) is TrialState.granted
 
 
-def test_nothing_is_judged_before_all_gateways_have_told_of_an_end():
-    """An innocent one that shares the ends is told of by another gateway, a little later."""
+def test_no_verdict_before_all_gateways_have_reported_a_crash():
+    """Another gateway may report a harmless content at the same crashes a little later."""
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.book.record_crash(crash(server, GUILTY), harness.now)
+        harness.book.record_crash(crash(server, CRASHING), harness.now)
     assert harness.book.evaluate(harness.now + REPORT_SETTLE_S / 2) == []
-    assert harness.ask(GUILTY) is TrialState.busy
-    assert harness.book.evaluate(harness.now + REPORT_SETTLE_S) == [GUILTY]
+    assert harness.ask(CRASHING) is TrialState.busy
+    assert harness.book.evaluate(harness.now + REPORT_SETTLE_S) == [CRASHING]
 
 
-def test_those_that_shared_its_servers_are_free_once_the_verdict_falls():
+def test_verdict_clears_other_suspects_of_the_same_crashes():
     harness = QuarantineHarness()
-    harness.crash(crash('a', GUILTY, 'x', 'y'))
-    harness.crash(crash('b', GUILTY, 'x'))
-    assert harness.book.suspects == {GUILTY, 'x'}
-    assert harness.crash(crash('c', GUILTY, 'y')) == [GUILTY]
+    harness.crash(crash('a', CRASHING, 'x', 'y'))
+    harness.crash(crash('b', CRASHING, 'x'))
+    assert harness.book.suspects == {CRASHING, 'x'}
+    assert harness.crash(crash('c', CRASHING, 'y')) == [CRASHING]
     assert not harness.book.suspects
     assert harness.ask('x') is TrialState.granted
 
 
-def test_two_that_share_all_ends_are_tried_one_after_the_other():
+def test_ambiguous_contents_run_as_trials_one_after_the_other():
     harness = QuarantineHarness()
     for server in 'abc':
-        assert harness.crash(crash(server, GUILTY, 'twin')) == []
-    assert harness.ask(GUILTY) is TrialState.granted
+        assert harness.crash(crash(server, CRASHING, 'twin')) == []
+    assert harness.ask(CRASHING) is TrialState.granted
     assert harness.ask('twin') is TrialState.busy
-    assert harness.crash(crash('d', GUILTY)) == [GUILTY]
+    assert harness.crash(crash('d', CRASHING)) == [CRASHING]
     assert harness.ask('twin') is TrialState.granted
 
 
-def test_second_guilty_one_at_the_same_ends_ends_two_servers_more_at_most():
-    """Load: two such contents at once; the first verdict explains the ends of both."""
+def test_second_crashing_content_costs_two_more_servers_at_most():
+    """Two crashing contents at once: the first verdict explains the crashes of both."""
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.crash(crash(server, GUILTY, 'second'))
-    assert harness.crash(crash('d', GUILTY)) == [GUILTY]
+        harness.crash(crash(server, CRASHING, 'second'))
+    assert harness.crash(crash('d', CRASHING)) == [CRASHING]
     assert [harness.ask('second'), harness.ask('second')] == [TrialState.granted, TrialState.busy]
     assert harness.crash(crash('e', 'second')) == []
     assert harness.crash(crash('f', 'second')) == ['second']
 
 
-def test_innocent_one_at_three_explained_ends_is_free_once_it_is_served():
+def test_harmless_content_at_three_explained_crashes_is_cleared_by_an_answer():
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.crash(crash(server, GUILTY, 'mate'))
-    harness.crash(crash('d', GUILTY))
+        harness.crash(crash(server, CRASHING, 'mate'))
+    harness.crash(crash('d', CRASHING))
     assert harness.ask('mate') is TrialState.granted
     harness.book.record_answer('mate', 'v1', harness.now)
     assert [harness.ask('mate'), harness.ask('mate')] == [TrialState.granted] * 2
 
 
-def test_twin_that_is_served_leaves_the_other_to_blame():
+def test_answer_to_one_of_two_ambiguous_contents_quarantines_the_other():
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.crash(crash(server, GUILTY, 'twin'))
+        harness.crash(crash(server, CRASHING, 'twin'))
     harness.book.record_answer('twin', 'v1', harness.now)
-    assert harness.book.evaluate(harness.now) == [GUILTY]
+    assert harness.book.evaluate(harness.now) == [CRASHING]
 
 
-def test_two_that_are_never_apart_end_five_servers_at_most():
+def test_ambiguous_contents_cost_five_servers_at_most():
     harness = QuarantineHarness()
-    fallen = [
-        harness.crash(crash(f's{number}', GUILTY, 'twin'))
+    verdicts = [
+        harness.crash(crash(f's{number}', CRASHING, 'twin'))
         for number in range(CRASHES_TO_QUARANTINE_AMBIGUOUS)
     ]
-    assert fallen[:-1] == [[]] * (CRASHES_TO_QUARANTINE_AMBIGUOUS - 1)
-    assert fallen[-1]
+    assert verdicts[:-1] == [[]] * (CRASHES_TO_QUARANTINE_AMBIGUOUS - 1)
+    assert verdicts[-1]
 
 
-def test_content_that_was_served_is_behind_no_end():
-    """What many ask for is under way at each end: a rack that falls blames nobody."""
+def test_recently_answered_content_is_not_suspected():
+    """A popular content is in flight at every crash, for example when a rack fails."""
     harness = QuarantineHarness()
     harness.book.record_answer('popular', 'v1', harness.now)
     for number in range(20):
@@ -179,13 +180,13 @@
 
 def test_answer_by_another_version_proves_nothing():
     harness = QuarantineHarness()
-    harness.book.record_answer(GUILTY, 'v1', harness.now)
+    harness.book.record_answer(CRASHING, 'v1', harness.now)
     for server in 'ab':
-        harness.crash(crash(server, GUILTY, software='v2'))
-    assert harness.crash(crash('c', GUILTY, software='v2')) == [GUILTY]
+        harness.crash(crash(server, CRASHING, software='v2'))
+    assert harness.crash(crash('c', CRASHING, software='v2')) == [CRASHING]
 
 
-def test_answer_lifts_a_verdict_that_was_wrong():
+def test_answer_withdraws_a_wrong_verdict():
     harness = QuarantineHarness()
     for server in 'abc':
         harness.crash(crash(server, 'slow'))
@@ -193,81 +194,81 @@
     assert harness.ask('slow') is TrialState.granted
 
 
-def test_server_that_goes_on_reporting_has_not_ended():
-    """What it sent before its end may come seconds later, and shows nothing."""
+def test_server_that_keeps_reporting_has_not_crashed():
+    """Reports sent before the crash may arrive seconds later and don't count."""
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.crash(crash(server, GUILTY))
+        harness.crash(crash(server, CRASHING))
     for _ in range(REPORTS_TO_REFUTE):
         harness.book.record_report('c', harness.now)
     harness.now += REFUTE_DELAY_S
     harness.book.record_report('c', harness.now)
-    assert harness.ask(GUILTY) is TrialState.quarantined
+    assert harness.ask(CRASHING) is TrialState.quarantined
     harness.now += REPORT_SPACING_S
     harness.book.record_report('c', harness.now)
-    assert harness.ask(GUILTY) is TrialState.granted
+    assert harness.ask(CRASHING) is TrialState.granted
 
 
-def test_reports_that_arrive_together_show_no_life():
-    """Load: a cut holds up what a server sent before its end, and heals seconds later."""
+def test_reports_that_arrive_together_refute_no_crash():
+    """A network partition delays reports sent before the crash until it heals."""
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.crash(crash(server, GUILTY))
+        harness.crash(crash(server, CRASHING))
     harness.now += 2 * REFUTE_DELAY_S
     for _ in range(2 * REPORTS_TO_REFUTE):
         harness.book.record_report('c', harness.now)
         harness.now += REPORT_SPACING_S / 10
-    assert harness.ask(GUILTY) is TrialState.quarantined
+    assert harness.ask(CRASHING) is TrialState.quarantined
 
 
-def test_new_release_puts_a_verdict_to_the_test_with_one_server():
+def test_new_release_lifts_a_verdict_for_one_trial():
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.crash(crash(server, GUILTY))
+        harness.crash(crash(server, CRASHING))
     assert harness.book.update_software('s', {'v1', 'v2'}) == []
     assert harness.book.update_software('other', {'v2'}) == []
-    assert harness.book.update_software('s', {'v2'}) == [GUILTY]
-    assert [harness.ask(GUILTY), harness.ask(GUILTY)] == [TrialState.granted, TrialState.busy]
-    assert harness.crash(crash('d', GUILTY, software='v2')) == [GUILTY]
+    assert harness.book.update_software('s', {'v2'}) == [CRASHING]
+    assert [harness.ask(CRASHING), harness.ask(CRASHING)] == [TrialState.granted, TrialState.busy]
+    assert harness.crash(crash('d', CRASHING, software='v2')) == [CRASHING]
     assert harness.book.update_software('s', {'v2'}) == []
 
 
-def test_new_release_that_bears_it_frees_it():
+def test_content_answered_by_a_new_release_is_released():
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.crash(crash(server, GUILTY))
+        harness.crash(crash(server, CRASHING))
     harness.book.update_software('s', {'v2'})
-    harness.book.record_answer(GUILTY, 'v2', harness.now)
+    harness.book.record_answer(CRASHING, 'v2', harness.now)
     assert not harness.book.suspects
-    assert [harness.ask(GUILTY), harness.ask(GUILTY)] == [TrialState.granted] * 2
+    assert [harness.ask(CRASHING), harness.ask(CRASHING)] == [TrialState.granted] * 2
 
 
-def test_release_that_is_taken_back_puts_no_verdict_to_the_test():
-    """Load: a release, its return and the release again; each would cost one server."""
+def test_rolled_back_release_lifts_no_verdict():
+    """A release, its rollback and the release again: each retest would cost a server."""
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.crash(crash(server, GUILTY))
+        harness.crash(crash(server, CRASHING))
     harness.book.update_software('s', {'v2'})
-    assert harness.crash(crash('d', GUILTY, software='v2')) == [GUILTY]
+    assert harness.crash(crash('d', CRASHING, software='v2')) == [CRASHING]
     assert harness.book.update_software('s', {'v1'}) == []
-    assert harness.book.update_software('s', {'v3'}) == [GUILTY]
+    assert harness.book.update_software('s', {'v3'}) == [CRASHING]
 
 
-def test_verdict_is_put_to_the_test_after_an_hour_and_then_after_two():
+def test_verdict_is_lifted_after_one_hour_and_then_after_two():
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.crash(crash(server, GUILTY))
+        harness.crash(crash(server, CRASHING))
     for times in (1, 2):
         harness.now += times * RETEST_AFTER_S - 1
         harness.book.evaluate(harness.now)
-        assert harness.ask(GUILTY) is TrialState.quarantined
+        assert harness.ask(CRASHING) is TrialState.quarantined
         harness.now += 2
         harness.book.evaluate(harness.now)
-        assert harness.ask(GUILTY) is TrialState.granted
-        assert harness.crash(crash(f'later-{times}', GUILTY)) == [GUILTY]
+        assert harness.ask(CRASHING) is TrialState.granted
+        assert harness.crash(crash(f'later-{times}', CRASHING)) == [CRASHING]
 
 
-def test_account_with_many_such_contents_is_confined_and_pays_one_server_each():
+def test_confined_account_costs_one_server_per_crashing_content():
     harness = QuarantineHarness()
     for number in range(VERDICTS_TO_CONFINE):
         for server in 'abc':
@@ -278,8 +279,8 @@
     assert harness.crash(crash('alien', 'other', account='acme')) == []
 
 
-def test_account_is_confined_while_it_brings_such_contents_and_no_longer():
-    """Its other requests share one server meanwhile, so it lasts no longer than it must."""
+def test_confinement_ends_when_no_crashing_contents_follow():
+    """Confinement ends early, as the account's other requests share one server meanwhile."""
     harness = QuarantineHarness()
     versions = []
     for number in range(VERDICTS_TO_CONFINE):
@@ -304,7 +305,7 @@
 
 
 def test_recorded_verdicts_confine_no_account():
-    """Load: a change of leader long after they fell."""
+    """The leader changes long after the contents were quarantined."""
     book = Quarantine()
     for number in range(VERDICTS_TO_CONFINE):
         held = Verdict(service='s', account='mallory', software=frozenset({'v1'}), quarantined_at=0)
@@ -313,7 +314,7 @@
     assert not book.confined
 
 
-def test_memory_stays_bounded_in_a_flood():
+def test_memory_is_bounded():
     harness = QuarantineHarness()
     for number in range(MAX_VERDICTS + 50):
         for server in 'abc':
@@ -326,76 +327,78 @@
 def test_recorded_verdict_is_in_force_at_once():
     book = Quarantine()
     book.restore(
-        GUILTY, Verdict(service='s', account='', software=frozenset({'v1'}), quarantined_at=0)
+        CRASHING, Verdict(service='s', account='', software=frozenset({'v1'}), quarantined_at=0)
     )
-    assert book.request_run(GUILTY, 0, 1) is TrialState.quarantined
+    assert book.request_run(CRASHING, 0, 1) is TrialState.quarantined
 
 
-def test_version_grows_with_what_others_must_hear_and_with_nothing_else():
+def test_version_grows_with_published_changes_only():
     harness = QuarantineHarness()
     versions = [harness.book.version]
     for server in 'abc':
-        harness.crash(crash(server, GUILTY))
+        harness.crash(crash(server, CRASHING))
         versions.append(harness.book.version)
     assert versions[0] == versions[1] < versions[2] < versions[3]
-    harness.ask(GUILTY)
+    harness.ask(CRASHING)
     assert harness.book.version == versions[3]
 
 
-def reference_verdicts(ends, served):
-    """Judge all evidence at once, by the words of the module: nobody twice, in order."""
-    fallen = []
-    for last in range(len(ends)):
-        known = ends[: last + 1]
+def reference_verdicts(crashes, served):
+    """Return the verdicts in order, from a reference implementation over all evidence."""
+    verdicts = []
+    for last in range(len(crashes)):
+        known = crashes[: last + 1]
         changed = True
         while changed:
             changed = False
             for content in sorted({content for one in known for content in one}):
-                mine = [
+                unexplained = [
                     one - served
                     for one in known
-                    if content in one - served and not (one - {content}) & set(fallen)
+                    if content in one - served and not (one - {content}) & set(verdicts)
                 ]
-                alone = not mine or not set.intersection(*mine) - {content}
-                explained = sum(content in one - served for one in known) - len(mine)
-                enough = len(mine) >= (2 if explained >= 2 else 3)
-                told = enough and (alone or len(mine) >= CRASHES_TO_QUARANTINE_AMBIGUOUS)
-                if told and content not in fallen:
-                    fallen.append(content)
+                is_unambiguous = not unexplained or not set.intersection(*unexplained) - {content}
+                explained = sum(content in one - served for one in known) - len(unexplained)
+                enough = len(unexplained) >= (2 if explained >= 2 else 3)
+                is_verdict = enough and (
+                    is_unambiguous or len(unexplained) >= CRASHES_TO_QUARANTINE_AMBIGUOUS
+                )
+                if is_verdict and content not in verdicts:
+                    verdicts.append(content)
                     changed = True
-    return fallen
+    return verdicts
 
 
 @given(
     ends=st.lists(st.frozensets(st.sampled_from('abcde'), min_size=1), max_size=12),
     served=st.frozensets(st.sampled_from('abcde'), max_size=2),
 )
-def test_verdicts_are_those_of_a_naive_judge(ends, served):
+def test_verdicts_match_the_reference_implementation(ends, served):
     harness = QuarantineHarness()
     for content in served:
         harness.book.record_answer(content, 'v1', harness.now)
-    fallen = []
+    verdicts = []
     for number, contents in enumerate(ends):
-        fallen += harness.crash(crash(f's{number}', *sorted(contents), account=''))
-        # What is explained by a verdict may tell of another one.
-        fallen += harness.book.evaluate(harness.now)
-        fallen += harness.book.evaluate(harness.now)
-    assert fallen == reference_verdicts([set(one) for one in ends], served)
+        verdicts += harness.crash(crash(f's{number}', *sorted(contents), account=''))
+        # A verdict explains crashes, which may lead to the next verdict.
+        verdicts += harness.book.evaluate(harness.now)
+        verdicts += harness.book.evaluate(harness.now)
+    assert verdicts == reference_verdicts([set(one) for one in ends], served)
 
 
-def test_one_guilty_among_many_ends_three_servers_and_nobody_else_is_rejected():
-    """Thirty runs of a service of six engines with 40 under way on each."""
+def test_one_crashing_content_among_many_is_the_only_one_quarantined():
+    """Thirty random runs of ten rounds with 40 other requests in flight in each."""
     for seed in range(30):
-        dice = random.Random(seed)
+        rng = random.Random(seed)
         harness = QuarantineHarness()
-        fallen = []
+        verdicts = []
         ended = 0
         for _ in range(10):
-            mates = [f'mate-{dice.randrange(400)}' for _ in range(40)]
-            admitted = [mate for mate in mates if harness.ask(mate, 1) is TrialState.granted]
-            if not fallen and harness.ask(GUILTY, 1) is TrialState.granted:
+            others = [f'mate-{rng.randrange(400)}' for _ in range(40)]
+            admitted = [other for other in others if harness.ask(other, 1) is TrialState.granted]
+            if not verdicts and harness.ask(CRASHING, 1) is TrialState.granted:
                 ended += 1
-                fallen = harness.crash(crash(f's{ended}', GUILTY, *admitted))
+                verdicts = harness.crash(crash(f's{ended}', CRASHING, *admitted))
             harness.now += 1
-        assert fallen == [GUILTY]
+        assert verdicts == [CRASHING]
         assert ended <= 4
--- a/tests/test_routing/test_routing_choice.py
+++ b/tests/test_routing/test_routing_choice.py
@@ -1,4 +1,4 @@
-"""Routing policies on plain states: no processes, no clock."""
+"""Routing policies and the view of agents, without processes or a clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ringseam.routing import AdaptiveRouter, AgentView, RoundRobinRouter, Router, RoutingRequest
 from ringseam.zones import DrainedZones
 
-WANTED = RoutingRequest(pool='p/q', zone='zone-1', est_ms=10)
+REQUEST = RoutingRequest(pool='p/q', zone='zone-1', est_ms=10)
 
 
 def agent(number, zone='zone-1', **own):
@@ -33,14 +33,14 @@
 
 
 def chosen(router, agents, times=400, now=0):
-    return Counter(router.choose(agents, WANTED, now).name for _ in range(times))
+    return Counter(router.choose(agents, REQUEST, now).name for _ in range(times))
 
 
 @pytest.mark.parametrize('kind', sorted(Router.kinds))
-def test_every_policy_chooses_among_what_there_is(kind):
+def test_every_policy_handles_empty_and_single_agent_pools(kind):
     router = Router.kinds[kind](seed=1)
-    assert router.choose([], WANTED, 0) is None
-    assert router.choose([agent(1)], WANTED, 0) == agent(1)
+    assert router.choose([], REQUEST, 0) is None
+    assert router.choose([agent(1)], REQUEST, 0) == agent(1)
 
 
 def test_own_zone_first_then_spill_over():
@@ -52,13 +52,13 @@
     assert set(chosen(router, [near, far])) == {'a2'}
 
 
-def test_slow_server_draws_less():
+def test_slow_server_gets_less_work():
     router = AdaptiveRouter(seed=1)
     counts = chosen(router, [agent(1, service_ms=100), agent(2), agent(3), agent(4)])
     assert counts['a1'] == 0
 
 
-def test_fast_failures_draw_no_load():
+def test_fast_failures_attract_no_work():
     router = AdaptiveRouter(seed=1)
     agents = [agent(number) for number in range(4)]
     for _ in range(router.eject_failures):
@@ -90,12 +90,12 @@
     )
 
 
-def test_agents_of_a_drained_zone_get_nothing_new():
+def test_agents_of_a_drained_zone_get_no_new_work():
     view = AgentView()
     view.merge('c1', delta([agent(1, zone='a'), agent(2, zone='b')], whole=True), 0)
     drained = msgspec.structs.replace(delta([]), zones=DrainedZones(change=1, names=('a',)))
     view.merge('c1', drained, 1)
-    # A host that lags tells what it held before.
+    # A lagging replica still sends the states from before.
     view.merge('c2', delta([agent(1, zone='a'), agent(2, zone='b')], whole=True), 2)
     assert [state.zone for state in view.available_agents('p/q')] == ['b']
 
@@ -108,8 +108,8 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from('ab'), states), max_size=30))
-def test_view_keeps_the_newest_in_any_order(reports):
-    """Differential: against the maximum of all that was told."""
+def test_view_keeps_the_newest_state(reports):
+    """The view holds the highest sequence of each agent, in whatever order states arrive."""
     view = AgentView()
     for source, state in reports:
         view.merge(source, delta([state]), 0)
@@ -119,7 +119,7 @@
     assert {name: state.sequence for name, state in view.agents.items()} == newest
 
 
-def test_agent_is_gone_only_when_every_directory_says_so():
+def test_agent_is_removed_only_when_no_directory_lists_it():
     view = AgentView()
     view.merge('a', delta([agent(1)]), 0)
     view.merge('b', delta([agent(1)]), 0)
@@ -129,8 +129,8 @@
     assert 'a1' not in view.agents
 
 
-def test_restarted_directory_empties_no_view():
-    """A directory that just started has not heard the agents yet."""
+def test_restarted_directory_removes_no_agents():
+    """A directory that has just started has no reports of agents yet."""
     view = AgentView()
     view.merge('a', delta([agent(1)]), 0)
     view.merge('a', delta([], whole=True, warm=False), 1)
--- a/tests/test_tries/test_tries_record.py
+++ b/tests/test_tries/test_tries_record.py
@@ -1,4 +1,4 @@
-"""What may follow a try: a table, a naive version, and the loop over servers."""
+"""Whether another try may follow, and the retry loop over servers."""
 
 from __future__ import annotations
 
@@ -14,54 +14,56 @@
 
 
 @pytest.mark.parametrize(
-    ('end', 'repeatable', 'max_servers', 'following'),
+    ('result', 'repeatable', 'max_servers', 'next_try'),
     [
         (TryResult.final, True, 3, NextTry.none),
         (TryResult.unsent, True, 1, NextTry.free),
         (TryResult.unsent, False, 1, NextTry.free),
-        (TryResult.refused, True, 2, NextTry.drawn),
-        (TryResult.refused, False, 2, NextTry.drawn),
+        (TryResult.refused, True, 2, NextTry.charged),
+        (TryResult.refused, False, 2, NextTry.charged),
         (TryResult.refused, False, 1, NextTry.none),
-        (TryResult.lost, True, 2, NextTry.drawn),
+        (TryResult.lost, True, 2, NextTry.charged),
         (TryResult.lost, True, 1, NextTry.none),
         (TryResult.lost, False, 2, NextTry.none),
     ],
 )
-def test_first_try(end, repeatable, max_servers, following):
-    assert TryRecord(repeatable=repeatable, max_servers=max_servers).count(end) is following
+def test_first_try(result, repeatable, max_servers, next_try):
+    assert TryRecord(repeatable=repeatable, max_servers=max_servers).add(result) is next_try
 
 
-def naive(ends, *, repeatable, max_servers):
-    """Return how many of ``ends`` are tried, from all of them at once."""
-    for number, end in enumerate(ends, start=1):
-        before = ends[:number]
+def expected_tries(results, *, repeatable, max_servers):
+    """Return how many of the scripted results are reached; a reference implementation."""
+    for number, result in enumerate(results, start=1):
+        before = results[:number]
         reached = [one for one in before if one is not TryResult.unsent]
-        if end is TryResult.final or (TryResult.lost in before and not repeatable):
+        if result is TryResult.final or (TryResult.lost in before and not repeatable):
             return number
         if len(reached) >= max_servers or before.count(TryResult.unsent) >= UNSENT_TRIES:
             return number
-    return len(ends)
+    return len(results)
 
 
-class ScriptedTries(TryLoop[int]):
-    """Servers 0, 1, 2, ... whose tries end as scripted."""
+class ScriptedTryLoop(TryLoop[int]):
+    """Servers 0, 1, 2, ... with scripted results."""
 
-    def __init__(self, ends, record, budget=10**6):
+    def __init__(self, results, record, budget=10**6):
         super().__init__(record=record)
-        self.ends = ends
+        self.results = results
         self.budget = budget
-        self.asked = []
+        self.sent_to = []
 
     async def choose(self):
-        left = [number for number in range(len(self.ends)) if str(number) not in self.record.tried]
+        left = [
+            number for number in range(len(self.results)) if str(number) not in self.record.tried
+        ]
         return left[0] if left else None
 
     def incarnation_of(self, server):
         return str(server)
 
     async def send(self, server):
-        self.asked.append(server)
-        return self.ends[server]
+        self.sent_to.append(server)
+        return self.results[server]
 
     def take_retry(self):
         self.budget -= 1
@@ -73,21 +75,23 @@
     st.booleans(),
     st.integers(1, 4),
 )
-def test_same_as_naive(ends, repeatable, max_servers):
-    tries = ScriptedTries(ends, TryRecord(repeatable=repeatable, max_servers=max_servers))
-    asyncio.run(tries.run())
-    assert tries.asked == list(range(naive(ends, repeatable=repeatable, max_servers=max_servers)))
-
-
-def test_budget_that_is_used_up_ends_the_tries():
-    ends = [TryResult.refused, TryResult.refused, TryResult.final]
-    tries = ScriptedTries(ends, TryRecord(repeatable=True, max_servers=9), budget=1)
-    asyncio.run(tries.run())
-    assert tries.asked == [0, 1]
-
-
-def test_tries_that_reached_no_server_draw_nothing():
-    ends = [TryResult.unsent, TryResult.unsent, TryResult.final]
-    tries = ScriptedTries(ends, TryRecord(repeatable=False, max_servers=1), budget=0)
-    asyncio.run(tries.run())
-    assert tries.asked == [0, 1, 2]
+def test_matches_the_reference_implementation(results, repeatable, max_servers):
+    loop = ScriptedTryLoop(results, TryRecord(repeatable=repeatable, max_servers=max_servers))
+    asyncio.run(loop.run())
+    assert loop.sent_to == list(
+        range(expected_tries(results, repeatable=repeatable, max_servers=max_servers))
+    )
+
+
+def test_exhausted_budget_ends_the_loop():
+    results = [TryResult.refused, TryResult.refused, TryResult.final]
+    loop = ScriptedTryLoop(results, TryRecord(repeatable=True, max_servers=9), budget=1)
+    asyncio.run(loop.run())
+    assert loop.sent_to == [0, 1]
+
+
+def test_tries_that_reached_no_server_are_not_charged():
+    results = [TryResult.unsent, TryResult.unsent, TryResult.final]
+    loop = ScriptedTryLoop(results, TryRecord(repeatable=False, max_servers=1), budget=0)
+    asyncio.run(loop.run())
+    assert loop.sent_to == [0, 1, 2]
