--- a/ringseam/gateway/requests/admission.py
+++ b/ringseam/gateway/requests/admission.py
@@ -69,7 +69,7 @@
     """
 
     seed: str
-    typical: dict[str, TypicalTimeLimit] = field(default_factory=dict)
+    typical_limits: dict[str, TypicalTimeLimit] = field(default_factory=dict)
     random: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
@@ -84,10 +84,10 @@
         """
         if left_s is None:
             return 0
-        typical = self.typical.get(route)
+        typical = self.typical_limits.get(route)
         if typical is None or typical.is_outdated(left_s, now):
             typical = TypicalTimeLimit(limit_s=left_s, updated_at=now)
-            self.typical[route] = typical
+            self.typical_limits[route] = typical
         if left_s >= typical.limit_s:
             typical.limit_s = left_s
             typical.updated_at = now
@@ -99,8 +99,8 @@
 
     def retry_after_s(self, predicted_s: float, left_s: float) -> float:
         """Return the Retry-After of a refusal, with jitter."""
-        pause = _MIN_RETRY_AFTER_S + predicted_s + self.random.random() * _RETRY_AFTER_JITTER_S
-        return max(0, min(pause, left_s * _MAX_RETRY_AFTER_SHARE))
+        delay_s = _MIN_RETRY_AFTER_S + predicted_s + self.random.random() * _RETRY_AFTER_JITTER_S
+        return max(0, min(delay_s, left_s * _MAX_RETRY_AFTER_SHARE))
 
     def check(self, context: RequestContext, predicted_s: float, now: float) -> Refusal | None:
         """Return a refusal if a request should not be started, else None.
--- a/ringseam/gateway/requests/answers.py
+++ b/ringseam/gateway/requests/answers.py
@@ -112,10 +112,14 @@
     def log_response(
         self, context: RequestContext, status: int, first_event_at: float, gap: float = 0
     ) -> None:
-        """Log and count a server's response; ``gap`` is its longest pause, seconds."""
+        """Log and count a server's response.
+
+        :param first_event_at: when its first event, or its body, was forwarded.
+        :param gap: its longest pause between events, seconds.
+        """
         took_ms = (self.node.clock.now() - context.arrived) * MS_PER_S
-        paused = 0 < context.route.gap_objective_s < gap
-        late = paused or first_event_at > context.objective_deadline
+        gap_exceeded = 0 < context.route.gap_objective_s < gap
+        late = gap_exceeded or first_event_at > context.objective_deadline
         context.on_time = status < BAD_REQUEST and not late
         self.metrics.add('requests', status=str(status), route=context.route.name)
         self.metrics.record_ms('request', took_ms, route=context.route.name)
--- a/ringseam/gateway/requests/attempts.py
+++ b/ringseam/gateway/requests/attempts.py
@@ -101,8 +101,8 @@
         relay: StreamRelay,
     ) -> TryOutcome:
         """Send once; the response of an :class:`Answered` has been forwarded completely."""
-        standing = self.health.of(server.instance)
-        standing.in_flight += 1
+        health = self.health.of(server.instance)
+        health.in_flight += 1
         self.responder.log(
             context,
             Event.request_sent,
@@ -115,7 +115,7 @@
         try:
             outcome = await self._send(context, server, relay)
         finally:
-            standing.in_flight -= 1
+            health.in_flight -= 1
             self._end_attempt(context, server)
         self._remove_replaced(server, outcome)
         self._log_connection_loss(context, server, outcome)
--- a/ringseam/gateway/requests/balancing.py
+++ b/ringseam/gateway/requests/balancing.py
@@ -23,7 +23,7 @@
 #: Cost of an ejected server, seconds: it is chosen only if all are ejected.
 _EJECTED_COST_S = 1000.0
 #: Cost per request in progress, seconds: prefers the less loaded of two equal servers.
-_COST_PER_REQUEST_S = 1e-4
+_REQUEST_COST_S = 1e-4
 
 
 class BalancingPolicy(abc.ABC):
@@ -62,15 +62,13 @@
 
     def cost(self, server: BackendReport, now: float) -> float:
         """Return the measured latency, scaled by the load."""
-        standing = self.health.of(server.instance)
-        load = max(standing.in_flight, _reported_load(standing, now))
+        health = self.health.of(server.instance)
+        load = max(health.in_flight, _reported_load(health, now))
         overload = max(0, load + 1 - server.slots / 2) / server.slots
-        cost = (standing.latency_s or _DEFAULT_LATENCY_S) * (
-            1 + overload
-        ) + load * _COST_PER_REQUEST_S
+        cost = (health.latency_s or _DEFAULT_LATENCY_S) * (1 + overload) + load * _REQUEST_COST_S
         if server.zone != self.zone:
             cost += _CROSS_ZONE_COST_S
-        if now < standing.ejected_until:
+        if now < health.ejected_until:
             cost += _EJECTED_COST_S
         return cost
 
@@ -83,7 +81,7 @@
         return float(server.zone != self.zone)
 
 
-def _reported_load(standing: Standing, now: float) -> float:
-    if now - standing.told_at > _REPORTED_LOAD_TTL_S:
+def _reported_load(health: Standing, now: float) -> float:
+    if now - health.told_at > _REPORTED_LOAD_TTL_S:
         return 0
-    return standing.told_running + standing.told_waiting
+    return health.told_running + health.told_waiting
--- a/ringseam/gateway/requests/directtries.py
+++ b/ringseam/gateway/requests/directtries.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from ringseam.backends import BackendReport
     from ringseam.gateway.requestcontext import RequestContext, TryOutcome
+    from ringseam.gateway.requests.attempts import AttemptRunner
     from ringseam.gateway.requests.relay import StreamRelay
-    from ringseam.gateway.requests.runner import AttemptRunner
     from ringseam.gateway.stages.graph import StageRun
 
 
@@ -30,7 +30,7 @@
         stages: StageRun | None,
         relay: StreamRelay,
     ) -> None:
-        """Send through ``attempts`` and forward streams through ``relay``."""
+        """Create a loop that sends through ``runner`` and forwards through ``relay``."""
         super().__init__(record=context.tries)
         self.runner = runner
         self.context = context
--- a/ringseam/gateway/requests/forwarding.py
+++ b/ringseam/gateway/requests/forwarding.py
@@ -179,13 +179,13 @@
 
     async def _serve(self, context: RequestContext) -> None:
         try:
-            if await self._is_admitted(context):
+            if await self._admit_content(context):
                 await self._run(context)
         finally:
             self.attempts.guard.conclude(context)
 
-    async def _is_admitted(self, context: RequestContext) -> bool:
-        """Respond to a request whose content crashes servers or is on trial; else return True."""
+    async def _admit_content(self, context: RequestContext) -> bool:
+        """Return whether the content may be sent; if not, respond to the request."""
         state = await self.attempts.guard.admit(context)
         if state is TrialState.quarantined:
             await self.responder.reject_content(context)
@@ -221,7 +221,7 @@
             server_zone=await self._preferred_zone(context),
             zone_by_address=self.follower.view.zones,
         )
-        if await self._is_shed(context, stages):
+        if await self._refuse_if_late(context, stages):
             return
         try:
             await self._run_stages(context, stages)
@@ -237,9 +237,9 @@
         account = context.suspect.account
         return all(self.follower.serving(name, account, context.allowed_zones) for name in needed)
 
-    async def _is_shed(self, context: RequestContext, stages: StageRun) -> bool:
+    async def _refuse_if_late(self, context: RequestContext, stages: StageRun) -> bool:
         """Refuse a request that would be late; return whether it was refused."""
-        if await self._is_rate_limited(context):
+        if await self._refuse_if_rate_limited(context):
             return True
         await self.pieces.refresh_waits(stages.services())
         context.predicted_duration_s = stages.predicted_s() + FINAL_SERVER_S
@@ -255,8 +255,8 @@
         )
         return True
 
-    async def _is_rate_limited(self, context: RequestContext) -> bool:
-        """Refuse a request before its stages if no final server will accept it soon."""
+    async def _refuse_if_rate_limited(self, context: RequestContext) -> bool:
+        """Refuse a request if no final server accepts it soon; return whether it was refused."""
         placements = self.attempts.placements
         if not context.route.affinity or not placements.must_wait(context):
             return False
@@ -287,12 +287,12 @@
     async def _run_until_shutdown(self, stages: StageRun) -> StageFault | None:
         """Run the stages until they end or this process shuts down."""
         running = asyncio.ensure_future(stages.run())
-        leaving = asyncio.ensure_future(self.shutting_down.wait())
+        shutdown = asyncio.ensure_future(self.shutting_down.wait())
         try:
-            await asyncio.wait({running, leaving}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({running, shutdown}, return_when=asyncio.FIRST_COMPLETED)
             return running.result() if running.done() else StageFault(fault=PieceFault.late)
         finally:
-            leaving.cancel()
+            shutdown.cancel()
             # Results are released after this; a stage may start to use them until then.
             await cancelled(running)
 
@@ -305,12 +305,12 @@
             return
         left_s = context.deadline - self.clock.now()
         # If only this process stops, another one may serve the request at once.
-        needed_s = 0 if self.shutting_down.is_set() else stages.predicted_s()
+        predicted_s = 0 if self.shutting_down.is_set() else stages.predicted_s()
         await self.responder.refuse(
             context.exchange,
             context.request,
             f'stages: {fault.fault.value}',
-            retry_after_s=self.admission.retry_after_s(needed_s, left_s),
+            retry_after_s=self.admission.retry_after_s(predicted_s, left_s),
             route=context.route.name,
         )
 
@@ -320,8 +320,8 @@
         A prompt with long shared parts goes to the engine that caches them, others go
         to the zone of their stage results.
         """
-        shared = sum(part.tokens for part in context.request.prefix[:-1])
-        if shared < _LONG_PREFIX_TOKENS:
+        shared_tokens = sum(part.tokens for part in context.request.prefix[:-1])
+        if shared_tokens < _LONG_PREFIX_TOKENS:
             return ''
         engine = await self.attempts.placements.foresee(context)
         return engine.zone if engine else ''
--- a/ringseam/gateway/requests/sending.py
+++ b/ringseam/gateway/requests/sending.py
@@ -119,12 +119,12 @@
         self, channel: Channel, context: RequestContext, server: BackendReport
     ) -> None:
         if context.route.affinity:
-            answer = OpenAnswer(
+            open_response = OpenAnswer(
                 channel=channel,
                 sent_at=self.clock.now(),
                 may_repeat=context.tries.may_repeat,
             )
-            self.silence.sent(server.instance, context.request.attempt_id, answer)
+            self.silence.sent(server.instance, context.request.attempt_id, open_response)
 
     async def _read_response(
         self, channel: Channel, context: RequestContext, server: BackendReport
@@ -175,10 +175,10 @@
             channel.close()
 
     def _record_load(self, server: BackendReport, running: int, waiting: int) -> None:
-        standing = self.health.of(server.instance)
-        standing.told_running = running
-        standing.told_waiting = waiting
-        standing.told_at = self.clock.now()
+        health = self.health.of(server.instance)
+        health.told_running = running
+        health.told_waiting = waiting
+        health.told_at = self.clock.now()
 
 
 def _is_success(head: ResponseHead) -> bool:
--- a/ringseam/gateway/requests/serverselection.py
+++ b/ringseam/gateway/requests/serverselection.py
@@ -13,7 +13,7 @@
     from ringseam.gateway.following.follower import Follower
     from ringseam.gateway.following.turns import Turn, Turns
     from ringseam.gateway.requestcontext import RequestContext
-    from ringseam.gateway.requests.policy import BalancingPolicy
+    from ringseam.gateway.requests.balancing import BalancingPolicy
 
 
 class ServerSelector:
@@ -66,8 +66,8 @@
         cold = service.cold if service else None
         peers = self.follower.gateway_names
         waits = {
-            known.instance: self.pace.wait_s(known.instance, cold, now, peers=peers)
-            for known in servers
+            server.instance: self.pace.wait_s(server.instance, cold, now, peers=peers)
+            for server in servers
         }
         chosen = self.policy.choose(servers, now, waits)
         if chosen is None or now + waits[chosen.instance] >= context.deadline:
@@ -75,7 +75,7 @@
         turn = await self._take_turn(context, chosen)
         if not turn.granted:
             context.available_in_s = min(turn.wait_s, context.available_in_s or turn.wait_s)
-            others = [known for known in servers if known.instance != chosen.instance]
+            others = [server for server in servers if server.instance != chosen.instance]
             return await self._select(context, others)
         wait_s = max(turn.wait_s, waits[chosen.instance])
         self.pace.sent(chosen.instance, now + wait_s)
@@ -101,9 +101,11 @@
     ) -> list[BackendReport]:
         """Return the servers that are not paused; store when the first pause ends."""
         now = self.clock.now()
-        waits = {known.instance: self.pace.pauses.left_s(known.instance, now) for known in servers}
+        waits = {
+            server.instance: self.pace.pauses.left_s(server.instance, now) for server in servers
+        }
         context.available_in_s = min((wait_s for wait_s in waits.values() if wait_s), default=0)
-        return [known for known in servers if not waits[known.instance]]
+        return [server for server in servers if not waits[server.instance]]
 
     def _is_available(self, server: BackendReport) -> bool:
         """Return whether a server still accepts requests of this gateway."""
--- a/tests/test_gateway/test_requests/test_requests_faults.py
+++ b/tests/test_gateway/test_requests/test_requests_faults.py
@@ -53,18 +53,18 @@
     writer.write(http_response(request, extra='Content-Encoding: gzip\r\n'))
 
 
-async def foreign(request, writer):
+async def wrong_id(request, writer):
     for _ in range(4):
         writer.write(http_response(request, b'not yours', attempt_id='another'))
 
 
-async def stray_then_good(request, writer):
+async def stray_then_ok(request, writer):
     writer.write(
         http_response(request, b'not yours', attempt_id='another') + http_response(request)
     )
 
 
-async def good_and_more(request, writer):
+async def with_surplus(request, writer):
     writer.write(http_response(request) + http_response(request, b'surplus', attempt_id='another'))
 
 
@@ -100,9 +100,9 @@
     (garbage, 502, 200),
     (without_seal, 502, 200),
     (encoded, 502, 200),
-    (foreign, 502, 200),
-    (stray_then_good, 200, 200),
-    (good_and_more, 200, 200),
+    (wrong_id, 502, 200),
+    (stray_then_ok, 200, 200),
+    (with_surplus, 200, 200),
     (unframed, 200, 200),
     (unframed_reset, 502, 200),
 ]
@@ -116,8 +116,8 @@
         server = ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await server.start())
-            found, raw = await gateway.fetch('/once/x')
-        assert found == status
+            actual, raw = await gateway.fetch('/once/x')
+        assert actual == status
         assert len(server.requests) == 1
         if status == 200:
             assert raw.endswith(b'ok')
@@ -135,8 +135,8 @@
             # Ties between servers of equal cost are broken by name.
             gateway.add_server(await bad.start(), name='a-first')
             gateway.add_server(await second.start(), name='b-second')
-            found, raw = await gateway.fetch('/idem/x')
-        assert found == status
+            actual, raw = await gateway.fetch('/idem/x')
+        assert actual == status
         assert raw.endswith(b'ok')
         assert len(bad.requests) == 1
 
@@ -150,8 +150,8 @@
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await bad.start(), name='a-first')
             gateway.add_server(await second.start(), name='b-second')
-            found, _ = await gateway.fetch('/once/x', Deadline_Ms='400')
-        assert found in {500, 502, 504}
+            actual, _ = await gateway.fetch('/once/x', Deadline_Ms='400')
+        assert actual in {500, 502, 504}
         assert not second.requests
 
     asyncio.run(run())
@@ -163,8 +163,8 @@
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await bad.start(), name='a-first')
             gateway.add_server(await second.start(), name='b-second')
-            found, _ = await gateway.fetch('/once/x')
-        assert found == 200
+            actual, _ = await gateway.fetch('/once/x')
+        assert actual == 200
         assert len(second.requests) == 1
 
     asyncio.run(run())
@@ -172,12 +172,12 @@
 
 def test_connection_with_surplus_bytes_is_not_reused(key_file):
     async def run():
-        server = ScriptedServer(good_and_more)
+        server = ScriptedServer(with_surplus)
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await server.start())
             for number in range(3):
-                found, raw = await gateway.fetch('/once/x', Attempt_Id=f'r{number}')
-                assert found == 200
+                actual, raw = await gateway.fetch('/once/x', Attempt_Id=f'r{number}')
+                assert actual == 200
                 assert raw.endswith(b'ok')
         assert server.connections == 3
 
@@ -199,8 +199,8 @@
 def test_request_is_refused_at_once_without_a_server(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
-            found, raw = await gateway.fetch('/once/x', read_s=0.5)
-        assert found == 503
+            actual, raw = await gateway.fetch('/once/x', read_s=0.5)
+        assert actual == 503
         assert b'retry-after' in raw.lower()
 
     asyncio.run(run())
@@ -213,8 +213,8 @@
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await server.start())
             started_at = loop.time()
-            found, _ = await gateway.fetch('/short/x')
-            assert found == 504
+            actual, _ = await gateway.fetch('/short/x')
+            assert actual == 504
             assert 0.15 < loop.time() - started_at < 0.6
         assert int(server.requests[0].header('Deadline-Ms')) <= 200
 
@@ -257,8 +257,8 @@
         server = ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await server.start())
-            found, _ = await gateway.fetch(path, Authorization=key, Tenant='forged')
-        assert found == status
+            actual, _ = await gateway.fetch(path, Authorization=key, Tenant='forged')
+        assert actual == status
         if status == 200:
             request = server.requests[0]
             assert request.header('Authorization') == ''
@@ -272,8 +272,8 @@
     async def run():
         async with LocalGateway(key_file) as gateway:
             gateway.role.follower.table = type(gateway.role.follower.table)()
-            found, _ = await gateway.fetch('/nowhere/x', Authorization='')
-        assert found == 503
+            actual, _ = await gateway.fetch('/nowhere/x', Authorization='')
+        assert actual == 503
 
     asyncio.run(run())
 
@@ -291,8 +291,8 @@
             request = asyncio.create_task(gateway.fetch('/idem/x'))
             await asyncio.sleep(0.05)
             await follower.take_document(manifest())
-            found, _ = await request
-        assert found == 200
+            actual, _ = await request
+        assert actual == 200
 
     asyncio.run(run())
 
--- a/tests/test_gateway/test_requests/test_requests_leaving.py
+++ b/tests/test_gateway/test_requests/test_requests_leaving.py
@@ -70,16 +70,16 @@
 # Stage servers announce it in their responses to piece calls.
 def test_leaving_stage_server_gets_no_new_calls(key_file):
     async def run():
-        place = {}
+        addresses = {}
 
         def crops_script(name, extra):
             async def script(request, writer):
-                made = []
+                results = []
                 if 'stage-run' in request.lines[0]:
                     items = json.loads(request.body)['items']
-                    made = [{'handle': f'{place[name]}/{item["id"]}'} for item in items]
+                    results = [{'handle': f'{addresses[name]}/{item["id"]}'} for item in items]
                 writer.write(
-                    http_response(request, json.dumps({'items': made}).encode(), extra=extra)
+                    http_response(request, json.dumps({'items': results}).encode(), extra=extra)
                 )
 
             return script
@@ -87,13 +87,13 @@
         crops = ScriptedServer(crops_script('a', LEAVING))
         other, engine = ScriptedServer(crops_script('b', '')), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            place['a'] = await crops.start()
-            gateway.add_server(place['a'], service='crops', name='a')
+            addresses['a'] = await crops.start()
+            gateway.add_server(addresses['a'], service='crops', name='a')
             gateway.add_server(await engine.start(), name='e')
             headers = {'Pieces': '2', 'Piece_Key': 'pk'}
             await gateway.fetch('/staged/x', Attempt_Id='first', **headers)
-            place['b'] = await other.start()
-            gateway.add_server(place['b'], service='crops', name='b')
+            addresses['b'] = await other.start()
+            gateway.add_server(addresses['b'], service='crops', name='b')
             for number in range(4):
                 status, _ = await gateway.fetch('/staged/x', Attempt_Id=f'r{number}', **headers)
                 assert status == 200
--- a/tests/test_gateway/test_requests/test_requests_limits.py
+++ b/tests/test_gateway/test_requests/test_requests_limits.py
@@ -42,8 +42,8 @@
 async def burst(gateway, path, **headers):
     """Send one request, then many at the same time."""
     await gateway.fetch(path, Attempt_Id='first', **headers)
-    asks = (gateway.fetch(path, Attempt_Id=f'r{number}', **headers) for number in range(BURST))
-    return await asyncio.gather(*asks)
+    requests = (gateway.fetch(path, Attempt_Id=f'r{number}', **headers) for number in range(BURST))
+    return await asyncio.gather(*requests)
 
 
 # Fault: a server that set a limit still got all requests, on each request path.
@@ -73,20 +73,20 @@
 # Piece calls are scheduled separately from requests; the limit was ignored there as well.
 def test_stage_server_gets_no_more_calls_than_its_limit(key_file):
     async def run():
-        place = {}
+        addresses = {}
 
         async def crops_script(request, writer):
-            made = []
+            results = []
             if 'stage-run' in request.lines[0]:
                 items = json.loads(request.body)['items']
-                made = [{'handle': f'{place["crops"]}/{item["id"]}'} for item in items]
-            body = json.dumps({'items': made}).encode()
+                results = [{'handle': f'{addresses["crops"]}/{item["id"]}'} for item in items]
+            body = json.dumps({'items': results}).encode()
             writer.write(http_response(request, body, extra=LIMIT))
 
         crops, engine = ScriptedServer(crops_script), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            place['crops'] = await crops.start()
-            gateway.add_server(place['crops'], service='crops')
+            addresses['crops'] = await crops.start()
+            gateway.add_server(addresses['crops'], service='crops')
             gateway.add_server(await engine.start())
             await burst(gateway, '/staged/x', Pieces='4', Piece_Key='pk', Deadline_Ms='600')
             await asyncio.sleep(0.1)
@@ -113,14 +113,14 @@
 
 def test_requests_above_the_limit_go_to_other_servers(key_file):
     async def run():
-        one, other = ScriptedServer(limited), ScriptedServer(respond_ok)
+        limited_server, other = ScriptedServer(limited), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            gateway.add_server(await one.start(), name='a')
+            gateway.add_server(await limited_server.start(), name='a')
             responses = await gateway.fetch('/idem/x')
             gateway.add_server(await other.start(), name='b')
             responses = await burst(gateway, '/idem/x')
         assert [status for status, _ in responses] == [200] * BURST
-        assert len(one.requests) <= ALLOWED
+        assert len(limited_server.requests) <= ALLOWED
 
     asyncio.run(run())
 
@@ -147,17 +147,17 @@
 
 def test_limit_ends_with_a_response_without_a_limit(key_file):
     async def run():
-        says = {'extra': LIMIT}
+        headers = {'extra': LIMIT}
 
         async def script(request, writer):
-            writer.write(http_response(request, extra=says['extra']))
+            writer.write(http_response(request, extra=headers['extra']))
 
         server = ScriptedServer(script)
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await server.start(), name='s')
             await gateway.fetch('/idem/x')
             assert gateway.role.words.limits.of(BackendId('s')).per_s == 1
-            says['extra'] = ''
+            headers['extra'] = ''
             await asyncio.sleep(1)
             responses = await burst(gateway, '/idem/x')
         assert [status for status, _ in responses] == [200] * BURST
--- a/tests/test_gateway/test_requests/test_requests_pauses.py
+++ b/tests/test_gateway/test_requests/test_requests_pauses.py
@@ -33,8 +33,8 @@
     """Send one request and, when earlier requests have ended, several more."""
     await gateway.fetch(path, Attempt_Id='first', **headers)
     await asyncio.sleep(0.5)
-    asks = (gateway.fetch(path, Attempt_Id=f'r{number}', **headers) for number in range(LATER))
-    return await asyncio.gather(*asks)
+    requests = (gateway.fetch(path, Attempt_Id=f'r{number}', **headers) for number in range(LATER))
+    return await asyncio.gather(*requests)
 
 
 # Fault: a server that had asked for a pause still got requests, on each request path.
@@ -132,40 +132,40 @@
 
 def test_results_are_not_released_at_a_paused_server(key_file):
     async def run():
-        place = {}
+        addresses = {}
 
         async def crops_script(request, writer):
             if 'stage-run' not in request.lines[0]:
                 await refuse_with_pause(request, writer)
                 return
             items = json.loads(request.body)['items']
-            made = [{'handle': f'{place["crops"]}/{item["id"]}'} for item in items]
-            writer.write(http_response(request, json.dumps({'items': made}).encode()))
+            results = [{'handle': f'{addresses["crops"]}/{item["id"]}'} for item in items]
+            writer.write(http_response(request, json.dumps({'items': results}).encode()))
 
         crops, engine = ScriptedServer(crops_script), ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            place['crops'] = await crops.start()
-            gateway.add_server(place['crops'], service='crops')
+            addresses['crops'] = await crops.start()
+            gateway.add_server(addresses['crops'], service='crops')
             gateway.add_server(await engine.start())
             headers = {'Pieces': '2', 'Piece_Key': 'pk', 'Deadline_Ms': '900'}
             await gateway.fetch('/staged/x', Attempt_Id='first', **headers)
             await asyncio.sleep(0.1)
-            came = len(crops.requests)
+            requests_before = len(crops.requests)
             await fetch_later(gateway, '/staged/x', **headers)
-        assert len(crops.requests) - came <= ALLOWED
+        assert len(crops.requests) - requests_before <= ALLOWED
 
     asyncio.run(run())
 
 
 def test_server_is_used_again_after_its_pause(key_file):
     async def run():
-        asked_for = []
+        refused = []
 
         async def script(request, writer):
-            if asked_for:
+            if refused:
                 await respond_ok(request, writer)
                 return
-            asked_for.append(request)
+            refused.append(request)
             writer.write(
                 b'HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nRetry-After: 0.4\r\n'
                 b'Content-Length: 0\r\n\r\n',
--- a/tests/test_gateway/test_requests/test_requests_regions.py
+++ b/tests/test_gateway/test_requests/test_requests_regions.py
@@ -14,8 +14,8 @@
 
 async def run_pieces(request, writer):
     orders = decode_orders(request.body)
-    made = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
-    writer.write(http_response(request, encode_results(made), attempt_id=''))
+    results = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
+    writer.write(http_response(request, encode_results(results), attempt_id=''))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_gateway/test_requests/test_requests_streams.py
+++ b/tests/test_gateway/test_requests/test_requests_streams.py
@@ -22,8 +22,8 @@
         server = ScriptedServer(stream_script(1, 6))
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await server.start())
-            found, raw = await gateway.fetch('/flow/x')
-        assert found == 200
+            actual, raw = await gateway.fetch('/flow/x')
+        assert actual == 200
         assert event_ids(raw) == [1, 2, 3, 4, 5, 6]
         assert raw.endswith(b'0\r\n\r\n')
 
@@ -39,8 +39,8 @@
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await broken.start(), name='a-first')
             gateway.add_server(await second.start(), name='b-second')
-            found, raw = await gateway.fetch('/flow/x')
-        assert found == 200
+            actual, raw = await gateway.fetch('/flow/x')
+        assert actual == 200
         assert event_ids(raw) == [1, 2, 3, 4, 5, 6]
         assert raw.endswith(b'0\r\n\r\n')
         assert second.requests[0].header('Last-Event-Id') == '3'
@@ -126,11 +126,11 @@
             while not first.requests:
                 await asyncio.sleep(0.01)
             gateway.add_server(await second.start(), name='sound')
-            found, raw = await request
+            actual, raw = await request
             took = asyncio.get_running_loop().time() - started_at
             standing = gateway.role.health.of(BackendId('dark'))
             assert standing.ejected_until > gateway.role.node.clock.now()
-        assert found == 200
+        assert actual == 200
         assert event_ids(raw) == [1, 2, 3, 4]
         assert took < 1.5
 
