--- a/ringseam/gateway/priorities.py
+++ b/ringseam/gateway/priorities.py
@@ -9,7 +9,7 @@
 #: Share of its value that a late response loses.
 LATE_VALUE_LOSS = 0.85
 
-#: Number of ranks per account priority; route priorities above are cut to the last.
+#: Number of ranks per account priority; higher route priorities share the last rank.
 _RANKS_PER_ACCOUNT = 100
 #: Engines accept the urgencies 0 to 9: three per account priority, one per route priority.
 _ROUTE_URGENCIES = 3
@@ -23,7 +23,6 @@
     still have time, and serving them gains less than a late first attempt loses.
     """
 
-    #: Whether the request is a retry of a client that was refused.
     #: Whether the request is a retry of a client that was refused.
     returned: bool = False
     #: Rank by priority, 0 is first; see :func:`rank_of`.
--- a/ringseam/gateway/requests/sending.py
+++ b/ringseam/gateway/requests/sending.py
@@ -44,7 +44,7 @@
         clock: Clock,
         words: ServerWords,
     ) -> None:
-        """Create a sender over ``pool``; ``words`` processes the headers of all responses."""
+        """Create a sender over ``pool`` that evaluates the headers of all responses."""
         self.pool = pool
         self.health = health
         self.silence = silence
--- a/ringseam/gateway/requests/serverselection.py
+++ b/ringseam/gateway/requests/serverselection.py
@@ -20,8 +20,8 @@
     """Choose among the servers that accept a request now or soon.
 
     All gateways send to each server, so each gateway keeps to its share of the load that
-    a server can bear while its cache is cold. Servers without a turn left under their
-    rate limit are skipped, as are those that have asked this gateway for a pause.
+    a server can bear while its cache is cold. A server is skipped if
+    its rate limit grants no permit in time, and during a pause that it has asked for.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         context: RequestContext,
         servers: list[BackendReport],
     ) -> BackendReport | None:
-        """Return the best of ``servers`` that grants a turn, after waiting for that turn."""
+        """Return the best of ``servers`` with a send permit, after waiting for the permit."""
         now = self.clock.now()
         service = self.follower.table.services.get(context.service)
         cold = service.cold if service else None
@@ -72,7 +72,7 @@
         chosen = self.policy.choose(servers, now, waits)
         if chosen is None or now + waits[chosen.instance] >= context.deadline:
             return None
-        turn = await self._take_turn(context, chosen)
+        turn = await self._request_permit(context, chosen)
         if not turn.granted:
             context.available_in_s = min(turn.wait_s, context.available_in_s or turn.wait_s)
             others = [server for server in servers if server.instance != chosen.instance]
@@ -83,8 +83,8 @@
             await asyncio.sleep(wait_s)
         return chosen
 
-    async def _take_turn(self, context: RequestContext, server: BackendReport) -> Turn:
-        """Take a turn on a server; it is granted at once if the server has no rate limit."""
+    async def _request_permit(self, context: RequestContext, server: BackendReport) -> Turn:
+        """Request a send permit; it is granted at once if the server has no rate limit."""
         left_s = max(0, context.deadline - self.clock.now())
         longest_s = min(longest_wait_s(context.route.priority), left_s)
         return await self.turns.take(server, longest_s)
--- a/ringseam/gateway/role.py
+++ b/ringseam/gateway/role.py
@@ -178,7 +178,7 @@
         self.spawn(self._run_monitor())
 
     def reload(self, settings: Settings) -> None:
-        """Apply new settings; only added seeds take effect."""
+        """Apply new settings and add new seed addresses."""
         super().reload(settings)
         own = settings.own
         self.follower.add_addresses(cluster_addresses(own['seeds'], own['cluster_ports']))
--- a/tests/test_gateway/test_requests/test_requests_regions.py
+++ b/tests/test_gateway/test_requests/test_requests_regions.py
@@ -50,15 +50,15 @@
 @pytest.mark.parametrize('zones', ['ab', 'b'])
 def test_pieces_run_in_allowed_regions_only(key_file, zones):
     async def run():
-        makers = {zone: ScriptedServer(run_pieces) for zone in zones}
-        last = ScriptedServer(respond_ok)
+        stage_servers = {zone: ScriptedServer(run_pieces) for zone in zones}
+        final_server = ScriptedServer(respond_ok)
         async with LocalGateway(key_file) as gateway:
-            for zone, server in makers.items():
+            for zone, server in stage_servers.items():
                 gateway.add_server(await server.start(), service='crops', zone=zone)
-            gateway.add_server(await last.start(), zone='c')
+            gateway.add_server(await final_server.start(), zone='c')
             async with asyncio.timeout(1):
                 status, _ = await gateway.fetch('/stagednorth/x', Pieces='3')
         assert status == (200 if 'a' in zones else 503)
-        assert not makers['b'].requests
+        assert not stage_servers['b'].requests
 
     asyncio.run(run())
--- a/tests/test_gateway/test_requests/test_requests_streams.py
+++ b/tests/test_gateway/test_requests/test_requests_streams.py
@@ -128,8 +128,8 @@
             gateway.add_server(await second.start(), name='sound')
             actual, raw = await request
             took = asyncio.get_running_loop().time() - started_at
-            standing = gateway.role.health.of(BackendId('dark'))
-            assert standing.ejected_until > gateway.role.node.clock.now()
+            health = gateway.role.health.of(BackendId('dark'))
+            assert health.ejected_until > gateway.role.node.clock.now()
         assert actual == 200
         assert event_ids(raw) == [1, 2, 3, 4]
         assert took < 1.5
