--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -328,7 +328,7 @@
     Mutation(
         'a suspected content runs more than once at a time',
         'ringseam/quarantine.py',
-        '        self.trial_deadlines[content] = now + lasts_s\n',
+        '        self.trial_deadlines[content] = now + duration_s\n',
         '        pass\n',
         QUARANTINE,
     ),
--- a/ringseam/backends.py
+++ b/ringseam/backends.py
@@ -120,10 +120,10 @@
     #: directory arrives at once, and a rebuild after each of 1,000 reports took 0.26 s.
     index: BackendIndex | None = None
     #: Departed servers; late reports of them are ignored.
-    departed: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(kept=MAX_DEPARTED))
+    departed: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(capacity=MAX_DEPARTED))
     #: Servers that announced in an answer that they are leaving. A report from the
     #: directory that calls them ready doesn't change that.
-    leaving: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(kept=MAX_DEPARTED))
+    leaving: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(capacity=MAX_DEPARTED))
     #: Availability zones whose servers take no new work.
     drained: DrainedZones = field(default_factory=DrainedZones)
 
--- a/ringseam/control/backenddirectory.py
+++ b/ringseam/control/backenddirectory.py
@@ -49,7 +49,7 @@
     #: The lifetime that has a row, by the server's name.
     lifetimes: dict[str, BackendId] = field(default_factory=dict)
     #: Lifetimes that a later start has ended.
-    ended: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(kept=_RESTARTED_KEPT))
+    ended: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(capacity=_RESTARTED_KEPT))
     dropped: list[tuple[int, BackendId]] = field(default_factory=list)
     followers: dict[str, Follower] = field(default_factory=dict)
     change: int = 0
--- a/ringseam/control/follow.py
+++ b/ringseam/control/follow.py
@@ -93,7 +93,7 @@
         self.voters_needed = voters_needed
         self.silent_s = _SILENT_REPORTS * report_s
         self.held = HeldDocument()
-        self.retired = EndedLifetimes(kept=MAX_RETIRED_BACKENDS)
+        self.retired = EndedLifetimes(capacity=MAX_RETIRED_BACKENDS)
         self.leadership = Leadership()
         self.directory = self._new_directory()
         self.changed = asyncio.Event()
@@ -118,7 +118,7 @@
         if held.number > self.held.number:
             self.documents.history.add(held.number, held.document)
         if held.retired != self.held.retired:
-            self.retired = EndedLifetimes(kept=MAX_RETIRED_BACKENDS)
+            self.retired = EndedLifetimes(capacity=MAX_RETIRED_BACKENDS)
             for backend in held.retired:
                 self.retired.add(backend)
         self.held = held
--- a/ringseam/evidence.py
+++ b/ringseam/evidence.py
@@ -73,21 +73,21 @@
     software: str
     crashed_at: float
     #: When a gateway last reported the crash.
-    last_told_at: float
+    last_reported_at: float
     #: Client accounts by content.
     suspects: dict[ContentId, str] = field(default_factory=dict)
     #: How many reports of the lifetime have counted against the crash.
-    reports: int = 0
+    refuting_reports: int = 0
     #: When the latest of them came.
-    last_report_at: float = float('-inf')
+    last_refuting_at: float = float('-inf')
 
     def record_report(self, now: float) -> bool:
         """Count a report of the lifetime; return whether the crash is now refuted."""
-        apart = now - self.last_report_at >= REPORT_SPACING_S
-        if apart and now - self.crashed_at > REFUTE_DELAY_S:
-            self.reports += 1
-            self.last_report_at = now
-        return self.reports >= REPORTS_TO_REFUTE
+        is_spaced = now - self.last_refuting_at >= REPORT_SPACING_S
+        if is_spaced and now - self.crashed_at > REFUTE_DELAY_S:
+            self.refuting_reports += 1
+            self.last_refuting_at = now
+        return self.refuting_reports >= REPORTS_TO_REFUTE
 
 
 @dataclass(kw_only=True)
@@ -104,7 +104,7 @@
     def record_crash(self, crash: ServerCrash, now: float) -> None:
         """Record one gateway's report of a crash and of what was in flight."""
         crash_id, record = self._find_or_add(crash, now - crash.age_ms / MS_PER_S)
-        record.last_told_at = now
+        record.last_reported_at = now
         for suspect in crash.suspects:
             self._add_suspect(crash_id, record, suspect, now)
         self._expire(now)
@@ -159,7 +159,7 @@
             service=crash.service,
             software=crash.software,
             crashed_at=at,
-            last_told_at=at,
+            last_reported_at=at,
         )
         crash_id = EndId(f'{crash.instance}@{at:.2f}')
         self.crashes[crash_id] = record
@@ -178,33 +178,33 @@
         if is_harmless or len(record.suspects) >= MAX_SUSPECTS_PER_CRASH:
             return
         record.suspects[content] = suspect.account
-        known = self.crashes_by_content.setdefault(content, set())
-        known.add(crash_id)
-        if len(known) > 1:
+        crash_ids = self.crashes_by_content.setdefault(content, set())
+        crash_ids.add(crash_id)
+        if len(crash_ids) > 1:
             self.recurring.add(content)
 
     def _remove_suspect(self, content: ContentId, crash_id: EndId) -> None:
         self.crashes[crash_id].suspects.pop(content, None)
-        known = self.crashes_by_content[content]
-        known.discard(crash_id)
-        if len(known) <= 1:
+        crash_ids = self.crashes_by_content[content]
+        crash_ids.discard(crash_id)
+        if len(crash_ids) <= 1:
             self.recurring.discard(content)
-        if not known:
+        if not crash_ids:
             self.crashes_by_content.pop(content)
 
     def _remove_crash(self, crash_id: EndId) -> None:
         for content in list(self.crashes[crash_id].suspects):
             self._remove_suspect(content, crash_id)
         instance = self.crashes.pop(crash_id).instance
-        known = self.crashes_by_instance[instance]
-        known.discard(crash_id)
-        if not known:
+        crash_ids = self.crashes_by_instance[instance]
+        crash_ids.discard(crash_id)
+        if not crash_ids:
             self.crashes_by_instance.pop(instance)
 
     def _expire(self, now: float) -> None:
         old = [
-            name
-            for name, record in self.crashes.items()
+            crash_id
+            for crash_id, record in self.crashes.items()
             if now - record.crashed_at > EVIDENCE_RETENTION_S
         ]
         surplus = list(self.crashes)[: max(0, len(self.crashes) - MAX_CRASHES)]
--- a/ringseam/lifetimes.py
+++ b/ringseam/lifetimes.py
@@ -38,18 +38,18 @@
 class EndedLifetimes:
     """The latest ended lifetime of each server, ordered by when the end was recorded."""
 
-    def __init__(self, *, kept: int) -> None:
-        """Keep the latest ``kept`` servers."""
-        self.kept = kept
-        self.start_ms: dict[str, int] = {}
+    def __init__(self, *, capacity: int) -> None:
+        """Keep the ``capacity`` servers whose ends were recorded last."""
+        self.capacity = capacity
+        self.latest_start_ms: dict[str, int] = {}
 
     def add(self, backend: str) -> None:
         """Record the end of a lifetime."""
         name = name_of(backend)
-        latest = max(start_ms_of(backend), self.start_ms.pop(name, 0))
-        self.start_ms[name] = latest
-        if len(self.start_ms) > self.kept:
-            self.start_ms.pop(next(iter(self.start_ms)))
+        latest = max(start_ms_of(backend), self.latest_start_ms.pop(name, 0))
+        self.latest_start_ms[name] = latest
+        if len(self.latest_start_ms) > self.capacity:
+            self.latest_start_ms.pop(next(iter(self.latest_start_ms)))
 
     def __contains__(self, backend: str) -> bool:
         """Return whether this lifetime or a later one of the same server has ended.
@@ -57,5 +57,5 @@
         After a server's clock was set back, a new lifetime looks like an earlier one. It
         is then treated as ended, as it can't be told from a late message.
         """
-        latest = self.start_ms.get(name_of(backend))
+        latest = self.latest_start_ms.get(name_of(backend))
         return latest is not None and start_ms_of(backend) <= latest
--- a/ringseam/quarantine.py
+++ b/ringseam/quarantine.py
@@ -143,7 +143,7 @@
         for content in sorted(self.suspects | self._confined_contents()):
             crash_ids = self._unexplained(content)
             if any(
-                now - self.evidence.crashes[crash_id].last_told_at < REPORT_SETTLE_S
+                now - self.evidence.crashes[crash_id].last_reported_at < REPORT_SETTLE_S
                 for crash_id in crash_ids
             ):
                 continue
@@ -159,7 +159,7 @@
             self._update_suspects()
         return quarantined
 
-    def request_run(self, content: ContentId, now: float, lasts_s: float) -> TrialState:
+    def request_run(self, content: ContentId, now: float, duration_s: float) -> TrialState:
         """Return whether a content may run now; a suspect gets one trial run at a time.
 
         Of contents that share a crash only one runs at a time, so that the next crash
@@ -174,12 +174,12 @@
         if needed and len(unexplained) >= needed:
             # The next evaluation will quarantine it.
             return TrialState.busy
-        for other, until in list(self.trial_deadlines.items()):
-            if until <= now:
+        for other, deadline in list(self.trial_deadlines.items()):
+            if deadline <= now:
                 self.trial_deadlines.pop(other)
             elif other == content or unexplained & set(self._unexplained(other)):
                 return TrialState.busy
-        self.trial_deadlines[content] = now + lasts_s
+        self.trial_deadlines[content] = now + duration_s
         return TrialState.granted
 
     def finish_trial(self, content: ContentId) -> None:
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -19,7 +19,7 @@
 
 @given(st.lists(lifetimes, max_size=20), lifetimes)
 def test_ended_lifetimes_match_a_list_of_all_ends(ends, asked):
-    ended = EndedLifetimes(kept=100)
+    ended = EndedLifetimes(capacity=100)
     for backend in ends:
         ended.add(backend)
     expected = any(
@@ -30,7 +30,7 @@
 
 
 def test_oldest_ends_are_forgotten():
-    ended = EndedLifetimes(kept=2)
+    ended = EndedLifetimes(capacity=2)
     for name in ('a', 'b', 'a', 'c'):
         ended.add(name)
     assert [name in ended for name in ('a', 'b', 'c')] == [True, False, True]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -53,8 +53,8 @@
         self.now += STEP_S
         return self.book.evaluate(self.now)
 
-    def ask(self, content, lasts_s=5.0):
-        return self.book.request_run(content, self.now, lasts_s)
+    def ask(self, content, duration_s=5.0):
+        return self.book.request_run(content, self.now, duration_s)
 
 
 def test_third_crash_quarantines():
@@ -95,7 +95,7 @@
     harness = QuarantineHarness()
     harness.crash(crash('a', CRASHING))
     harness.crash(crash('b', CRASHING))
-    harness.ask(CRASHING, lasts_s=5)
+    harness.ask(CRASHING, duration_s=5)
     harness.now += 5
     assert harness.ask(CRASHING) is TrialState.granted
 
