--- a/ringseam/gateway/engines/client.py
+++ b/ringseam/gateway/engines/client.py
@@ -14,10 +14,10 @@
 from ringseam.gateway.engines.messages import (
     PLACE,
     PROGRESS,
-    PlacedPart,
     PlaceReply,
     PlaceRequest,
-    ProgressNote,
+    ProgressReport,
+    PromptPart,
 )
 from ringseam.gateway.engines.placement import Placer
 from ringseam.messages import Empty
@@ -42,16 +42,16 @@
 logger = logging.getLogger(__name__)
 
 #: The owner is milliseconds away; a request is placed here after this, seconds.
-_ASK_S = 0.06
-_TELL_S = 1.0
+_PLACE_TIMEOUT_S = 0.06
+_PROGRESS_TIMEOUT_S = 1.0
 #: An owner that didn't answer in time isn't asked for places again for this
 #: long, seconds. Pieces still go to it: two gateways that form batches for the
 #: same servers get in each other's way, two that place requests hardly do.
-_AVOID_S = 1.0
+_OWNER_BACKOFF_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Chosen:
+class EngineChoice:
     """Where a request shall run, and how long it has to wait before, seconds."""
 
     #: None: there is one with a limit, and no turn left at it; ``wait_s`` tells until when.
@@ -59,7 +59,7 @@
     wait_s: float
 
 
-class PlaceClient:
+class PlacementClient:
     """Place requests by the owner's view, or by this gateway's own."""
 
     def __init__(
@@ -84,26 +84,26 @@
         self.placers: dict[str, Placer] = {}
         self.tasks = TaskSet()
         #: Until when owners that didn't answer are not asked, by address.
-        self.avoided: dict[str, float] = {}
+        self.skipped_owners: dict[str, float] = {}
 
     async def choose(self, work: RequestContext) -> BackendReport | None:
         """Return where a request shall run, once it may go there."""
-        chosen = await self._choose(self._ask(work, dry=False))
-        while chosen is not None and chosen.engine is not None and chosen.wait_s:
-            was_limited = self._is_limited(chosen.engine)
-            await asyncio.sleep(chosen.wait_s)
-            stays = was_limited or not self._is_limited(chosen.engine)
-            if stays and self._takes(chosen.engine):
+        choice = await self._choose(self._query(work, dry=False))
+        while choice is not None and choice.engine is not None and choice.wait_s:
+            was_limited = self._is_limited(choice.engine)
+            await asyncio.sleep(choice.wait_s)
+            limit_unchanged = was_limited or not self._is_limited(choice.engine)
+            if limit_unchanged and self._accepts_work(choice.engine):
                 break
-            chosen = await self._choose(self._ask(work, dry=False))
-        self._note_turn(work, chosen)
-        return chosen.engine if chosen else None
+            choice = await self._choose(self._query(work, dry=False))
+        self._record_wait(work, choice)
+        return choice.engine if choice else None
 
-    async def foresee(self, work: RequestContext) -> BackendReport | None:
+    async def predict(self, work: RequestContext) -> BackendReport | None:
         """Return where a request would run now."""
-        chosen = await self._choose(self._ask(work, dry=True))
-        self._note_turn(work, chosen)
-        return chosen.engine if chosen else None
+        choice = await self._choose(self._query(work, dry=True))
+        self._record_wait(work, choice)
+        return choice.engine if choice else None
 
     def must_wait(self, work: RequestContext) -> bool:
         """Return whether each server that a request may run on names a limit or pauses."""
@@ -115,17 +115,17 @@
             server.instance in paused or self._is_limited(server) for server in serving
         )
 
-    def began(self, work: RequestContext) -> None:
+    def started(self, work: RequestContext) -> None:
         """Tell that the first event has come."""
-        self._tell(work, over=False)
+        self._report_progress(work, over=False)
 
     def ended(self, work: RequestContext) -> None:
         """Tell that the request is over."""
-        self._tell(work, over=True)
+        self._report_progress(work, over=True)
 
-    def fell_silent(self, service: ServiceName, instance: BackendId) -> None:
+    def report_silent(self, service: ServiceName, instance: BackendId) -> None:
         """Tell that an engine owes answers and has gone silent."""
-        self._spread(ProgressNote(service=service, silent=instance))
+        self._publish(ProgressReport(service=service, silent=instance))
 
     def keep_only(self, instances: set[BackendId]) -> None:
         """Forget what engines that are gone keep."""
@@ -136,61 +136,61 @@
 
     async def serve_place(self, received: Received) -> PlaceReply:
         """Place a request for another gateway."""
-        ask: PlaceRequest = received.body
-        self.turns.learn(ask.limits)
-        chosen = self._place_here(ask)
-        if chosen is None:
+        query: PlaceRequest = received.body
+        self.turns.learn(query.limits)
+        choice = self._place_here(query)
+        if choice is None:
             return PlaceReply()
-        instance = chosen.engine.instance if chosen.engine else ''
-        return PlaceReply(instance=instance, wait_s=chosen.wait_s)
+        instance = choice.engine.instance if choice.engine else ''
+        return PlaceReply(instance=instance, wait_s=choice.wait_s)
 
     async def serve_progress(self, received: Received) -> Empty:
         """Hear how a request of another gateway goes on."""
-        self._hear(received.body)
+        self._apply_progress(received.body)
         return Empty()
 
     # -- helpers ------------------------------------------------------------
 
-    async def _choose(self, ask: PlaceRequest) -> Chosen | None:
-        service = ServiceName(ask.service)
+    async def _choose(self, query: PlaceRequest) -> EngineChoice | None:
+        service = ServiceName(query.service)
         owner = self.ownership.owner_of(service)
         if not owner:
-            return self._place_here(ask)
-        if self.avoided.get(owner, 0) <= self.clock.now():
-            chosen = await self._ask_owner(owner, ask)
-            if chosen is not None:
-                if chosen.engine is not None and not ask.dry:
-                    self._note(ask, chosen)
-                return chosen
+            return self._place_here(query)
+        if self.skipped_owners.get(owner, 0) <= self.clock.now():
+            choice = await self._query_owner(owner, query)
+            if choice is not None:
+                if choice.engine is not None and not query.dry:
+                    self._record(query, choice)
+                return choice
         # Any other gateway may have to place requests by itself as well.
-        return self._place_here(ask, peers=self.follower.gateway_names)
+        return self._place_here(query, peers=self.follower.gateway_names)
 
-    def _note(self, ask: PlaceRequest, chosen: Chosen) -> None:
-        service = self._service(ask.service)
-        if service is not None and chosen.engine is not None:
+    def _record(self, query: PlaceRequest, choice: EngineChoice) -> None:
+        service = self._service(query.service)
+        if service is not None and choice.engine is not None:
             now = self.clock.now()
-            instance = chosen.engine.instance
-            self._placer(service.name).note(ask, instance, service, now)
-            self.pace.sent(instance, now + chosen.wait_s)
+            instance = choice.engine.instance
+            self._placer(service.name).record(query, instance, service, now)
+            self.pace.sent(instance, now + choice.wait_s)
 
     def _is_limited(self, server: BackendReport) -> bool:
         return self.turns.limits.of(server.instance) is not None
 
-    def _takes(self, server: BackendReport) -> bool:
+    def _accepts_work(self, server: BackendReport) -> bool:
         """Return whether a server takes new work from this gateway."""
         paused = self.pace.pauses.left_s(server.instance, self.clock.now())
         return not paused and self.follower.is_serving(server)
 
-    def _note_turn(self, work: RequestContext, chosen: Chosen | None) -> None:
+    def _record_wait(self, work: RequestContext, choice: EngineChoice | None) -> None:
         """Note after how long a request that was not placed may be."""
-        if chosen is not None and chosen.engine is not None:
+        if choice is not None and choice.engine is not None:
             work.available_in_s = 0
             return
         end_s = self.pace.pauses.first_end_s(self._paused(work), self.clock.now())
-        turn_s = chosen.wait_s if chosen else 0
-        work.available_in_s = min((wait_s for wait_s in (end_s, turn_s) if wait_s), default=0)
+        permit_s = choice.wait_s if choice else 0
+        work.available_in_s = min((wait_s for wait_s in (end_s, permit_s) if wait_s), default=0)
 
-    def _avoided(self, work: RequestContext) -> tuple[str, ...]:
+    def _excluded_servers(self, work: RequestContext) -> tuple[str, ...]:
         """Return the servers that the owner, which may not know it, shall not choose."""
         leaving = self.follower.view.leaving_servers(work.service)
         return tuple(work.tries.tried.union(self._paused(work), leaving))
@@ -203,20 +203,20 @@
         serving = self.follower.view.serving(work.service)
         return [server.instance for server in serving if server.instance in paused]
 
-    def _ask(self, work: RequestContext, *, dry: bool) -> PlaceRequest:
+    def _query(self, work: RequestContext, *, dry: bool) -> PlaceRequest:
         now = self.clock.now()
         return PlaceRequest(
             request=work.request.attempt_id,
             service=work.service,
             prompt_tokens=work.request.prompt_tokens,
             prefix=tuple(
-                PlacedPart(name=part.name, tokens=part.tokens) for part in work.request.prefix
+                PromptPart(name=part.name, tokens=part.tokens) for part in work.request.prefix
             ),
             priority=work.route.priority,
             objective_ms=int((work.objective_deadline - now) * MS_PER_S),
             left_ms=int((work.deadline - now) * MS_PER_S),
             result_bytes=work.input_bytes,
-            avoid=self._avoided(work),
+            avoid=self._excluded_servers(work),
             dry=dry,
             account=work.suspect.account,
             zones=None if work.allowed_zones is None else tuple(work.allowed_zones),
@@ -225,75 +225,77 @@
             ),
         )
 
-    def _place_here(self, ask: PlaceRequest, *, peers: Collection[str] = ()) -> Chosen | None:
-        service = self._service(ask.service)
+    def _place_here(
+        self, query: PlaceRequest, *, peers: Collection[str] = ()
+    ) -> EngineChoice | None:
+        service = self._service(query.service)
         if service is None:
             return None
         placer = self._placer(service.name)
-        engines = self.follower.serving(service.name, ask.account, ask.zones)
+        engines = self.follower.serving(service.name, query.account, query.zones)
         now = self.clock.now()
-        placement = placer.place(ask, engines, service, now, peers=peers)
+        placement = placer.place(query, engines, service, now, peers=peers)
         if placement is None:
-            turn_in_s = placer.turn_in_s(ask, engines, now, peers=peers)
-            return Chosen(engine=None, wait_s=turn_in_s) if turn_in_s else None
-        if not ask.dry:
-            self._log(ask, placement)
-        return Chosen(engine=placement.engine, wait_s=placement.wait_s)
+            permit_in_s = placer.permit_in_s(query, engines, now, peers=peers)
+            return EngineChoice(engine=None, wait_s=permit_in_s) if permit_in_s else None
+        if not query.dry:
+            self._log_placement(query, placement)
+        return EngineChoice(engine=placement.engine, wait_s=placement.wait_s)
 
-    def _log(self, ask: PlaceRequest, placement: Placement) -> None:
+    def _log_placement(self, query: PlaceRequest, placement: Placement) -> None:
         self.node.events.emit(
             logger,
             Event.request_placed,
-            request=ask.request,
+            request=query.request,
             backend=placement.engine.instance,
             cost=round(placement.cost, 3),
-            unread=placement.unread,
-            backlog=placement.backlog,
-            disturbed=round(placement.disturbed, 3),
-            prompt=ask.prompt_tokens,
-            objective_ms=ask.objective_ms,
+            unread=placement.prefill_tokens,
+            backlog=placement.backlog_tokens,
+            disturbed=round(placement.stalled_value, 3),
+            prompt=query.prompt_tokens,
+            objective_ms=query.objective_ms,
             wait_ms=round(placement.wait_s * MS_PER_S),
         )
 
-    async def _ask_owner(self, owner: str, ask: PlaceRequest) -> Chosen | None:
+    async def _query_owner(self, owner: str, query: PlaceRequest) -> EngineChoice | None:
         try:
-            received = await self.client.call(owner, PLACE, ask, timeout_s=_ASK_S)
+            received = await self.client.call(owner, PLACE, query, timeout_s=_PLACE_TIMEOUT_S)
         except UnreachableError as error:
             logger.debug('placed here: %s', error)
-            self.avoided[owner] = self.clock.now() + _AVOID_S
+            self.skipped_owners[owner] = self.clock.now() + _OWNER_BACKOFF_S
             return None
         reply: PlaceReply = received.body
         if not reply.instance and reply.wait_s:
-            return Chosen(engine=None, wait_s=reply.wait_s)
-        serving = self.follower.view.serving(ServiceName(ask.service))
+            return EngineChoice(engine=None, wait_s=reply.wait_s)
+        serving = self.follower.view.serving(ServiceName(query.service))
         engine = next((known for known in serving if known.instance == reply.instance), None)
-        return None if engine is None else Chosen(engine=engine, wait_s=reply.wait_s)
+        return None if engine is None else EngineChoice(engine=engine, wait_s=reply.wait_s)
 
-    def _tell(self, work: RequestContext, *, over: bool) -> None:
-        self._spread(
-            ProgressNote(service=work.service, request=work.request.attempt_id, over=over),
+    def _report_progress(self, work: RequestContext, *, over: bool) -> None:
+        self._publish(
+            ProgressReport(service=work.service, request=work.request.attempt_id, over=over),
         )
 
-    def _spread(self, note: ProgressNote) -> None:
-        self._hear(note)
-        owner = self.ownership.owner_of(note.service)
+    def _publish(self, report: ProgressReport) -> None:
+        self._apply_progress(report)
+        owner = self.ownership.owner_of(report.service)
         if owner:
-            self.tasks.spawn(self._tell_owner(owner, note))
+            self.tasks.spawn(self._send_progress(owner, report))
 
-    async def _tell_owner(self, owner: str, note: ProgressNote) -> None:
+    async def _send_progress(self, owner: str, report: ProgressReport) -> None:
         try:
-            await self.client.call(owner, PROGRESS, note, timeout_s=_TELL_S)
+            await self.client.call(owner, PROGRESS, report, timeout_s=_PROGRESS_TIMEOUT_S)
         except UnreachableError as error:
             logger.debug('progress not told: %s', error)
 
-    def _hear(self, note: ProgressNote) -> None:
-        placer = self._placer(note.service)
-        if note.silent:
-            self._eject(BackendId(note.silent))
-        elif note.over:
-            placer.ended(note.request)
+    def _apply_progress(self, report: ProgressReport) -> None:
+        placer = self._placer(report.service)
+        if report.silent:
+            self._eject(BackendId(report.silent))
+        elif report.over:
+            placer.ended(report.request)
         else:
-            placer.began(note.request, self.clock.now())
+            placer.started(report.request, self.clock.now())
 
     def _eject(self, instance: BackendId) -> None:
         now = self.clock.now()
--- a/ringseam/gateway/engines/messages.py
+++ b/ringseam/gateway/engines/messages.py
@@ -11,7 +11,7 @@
 from ringseam.rpc import Method
 
 
-class PlacedPart(Message, frozen=True, kw_only=True):
+class PromptPart(Message, frozen=True, kw_only=True):
     """A part of a prompt, with its tokens."""
 
     name: str
@@ -27,7 +27,7 @@
     request: str
     service: str
     prompt_tokens: int
-    prefix: tuple[PlacedPart, ...] = ()
+    prefix: tuple[PromptPart, ...] = ()
     priority: int = 0
     objective_ms: int = 0
     left_ms: int = 0
@@ -50,7 +50,7 @@
     wait_s: float = 0
 
 
-class ProgressNote(Message, frozen=True, kw_only=True, omit_defaults=True):
+class ProgressReport(Message, frozen=True, kw_only=True, omit_defaults=True):
     """A request's first event has come, or it is over; or an engine is silent."""
 
     service: str
@@ -60,4 +60,4 @@
 
 
 PLACE = Method('/ringseam.Gateway/Place', PlaceRequest, PlaceReply, multiplexed=True)
-PROGRESS = Method('/ringseam.Gateway/Progress', ProgressNote, Empty, multiplexed=True)
+PROGRESS = Method('/ringseam.Gateway/Progress', ProgressReport, Empty, multiplexed=True)
--- a/ringseam/gateway/engines/silence.py
+++ b/ringseam/gateway/engines/silence.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(kw_only=True)
-class OpenAnswer:
+class PendingResponse:
     """A request that was sent and whose answer isn't over."""
 
     channel: Closable
@@ -41,59 +41,59 @@
 
 
 @dataclass(kw_only=True)
-class EngineLine:
+class EngineActivity:
     """What one engine owes, and when it was heard last."""
 
-    heard_at: float = float('-inf')
-    answers: dict[str, OpenAnswer] = field(default_factory=dict)
+    last_data_at: float = float('-inf')
+    responses: dict[str, PendingResponse] = field(default_factory=dict)
 
 
 @dataclass(kw_only=True)
-class SilenceBook:
+class SilenceDetector:
     """Open answers by engine; times are absolute seconds."""
 
-    lines: dict[BackendId, EngineLine] = field(default_factory=dict)
+    engines: dict[BackendId, EngineActivity] = field(default_factory=dict)
 
-    def sent(self, instance: BackendId, request: str, answer: OpenAnswer) -> None:
+    def request_sent(self, instance: BackendId, request: str, response: PendingResponse) -> None:
         """Hear that a request was sent."""
-        line = self.lines.setdefault(instance, EngineLine())
-        line.answers[request] = answer
+        engine = self.engines.setdefault(instance, EngineActivity())
+        engine.responses[request] = response
 
-    def heard(self, instance: BackendId, request: str, now: float, *, event: bool) -> None:
+    def data_received(self, instance: BackendId, request: str, now: float, *, event: bool) -> None:
         """Hear that bytes came; ``event``: some of the stream itself."""
-        line = self.lines.get(instance)
-        if line is None:
+        engine = self.engines.get(instance)
+        if engine is None:
             return
-        line.heard_at = now
-        answer = line.answers.get(request)
-        if answer is not None and event:
-            answer.streaming = True
+        engine.last_data_at = now
+        response = engine.responses.get(request)
+        if response is not None and event:
+            response.streaming = True
 
-    def ended(self, instance: BackendId, request: str) -> None:
+    def response_ended(self, instance: BackendId, request: str) -> None:
         """Hear that an answer is over or given up."""
-        line = self.lines.get(instance)
-        if line is None:
+        engine = self.engines.get(instance)
+        if engine is None:
             return
-        line.answers.pop(request, None)
-        if not line.answers:
-            self.lines.pop(instance)
+        engine.responses.pop(request, None)
+        if not engine.responses:
+            self.engines.pop(instance)
 
-    def silent(self, now: float) -> list[BackendId]:
+    def silent_engines(self, now: float) -> list[BackendId]:
         """Return the engines that owe answers and have gone silent."""
-        return [instance for instance, line in self.lines.items() if _is_silent(line, now)]
+        return [instance for instance, engine in self.engines.items() if _is_silent(engine, now)]
 
-    def give_up(self, instance: BackendId) -> list[str]:
+    def close_repeatable(self, instance: BackendId) -> list[str]:
         """Close what may be sent elsewhere, and return those requests."""
-        line = self.lines.get(instance, EngineLine())
-        given_up = [request for request, answer in line.answers.items() if answer.may_repeat]
-        for request in given_up:
-            line.answers[request].channel.close()
-        return given_up
+        engine = self.engines.get(instance, EngineActivity())
+        closed = [request for request, response in engine.responses.items() if response.may_repeat]
+        for request in closed:
+            engine.responses[request].channel.close()
+        return closed
 
 
-def _is_silent(line: EngineLine, now: float) -> bool:
-    sent_first = min((answer.sent_at for answer in line.answers.values()), default=now)
-    quiet_s = now - max(line.heard_at, sent_first)
-    streaming = any(answer.streaming for answer in line.answers.values())
+def _is_silent(engine: EngineActivity, now: float) -> bool:
+    oldest_sent_at = min((response.sent_at for response in engine.responses.values()), default=now)
+    silence_s = now - max(engine.last_data_at, oldest_sent_at)
+    streaming = any(response.streaming for response in engine.responses.values())
     limit_s = STREAMING_SILENCE_S if streaming else FIRST_SILENCE_S
-    return quiet_s > limit_s
+    return silence_s > limit_s
--- a/ringseam/gateway/requests/attempts.py
+++ b/ringseam/gateway/requests/attempts.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendReport
-    from ringseam.gateway.engines.client import PlaceClient
+    from ringseam.gateway.engines.client import PlacementClient
     from ringseam.gateway.following.follower import Follower
     from ringseam.gateway.following.guard import Guard
     from ringseam.gateway.requestcontext import RequestContext, TryOutcome
@@ -55,7 +55,7 @@
         node: Node,
         follower: Follower,
         sender: Sender,
-        placements: PlaceClient,
+        placements: PlacementClient,
         retries: RetryPolicy,
         responder: Responder,
         guard: Guard,
@@ -144,7 +144,7 @@
         """Record that a request is no longer in progress on a server."""
         self.guard.ends.over(server, context.request.attempt_id)
         if context.route.affinity:
-            self.sender.silence.ended(server.instance, context.request.attempt_id)
+            self.sender.silence.response_ended(server.instance, context.request.attempt_id)
             self.placements.ended(context)
 
     def _log_refusal(
@@ -185,7 +185,7 @@
             stages.release()
         self.guard.conclude(context)
         if context.route.affinity:
-            self.placements.began(context)
+            self.placements.started(context)
 
     async def _forward_response(
         self,
@@ -245,7 +245,7 @@
         answered: Answered,
         relay: StreamRelay,
     ) -> TryOutcome:
-        relay.on_chunk = lambda: self.sender.silence.heard(
+        relay.on_chunk = lambda: self.sender.silence.data_received(
             server.instance,
             context.request.attempt_id,
             self.clock.now(),
--- a/ringseam/gateway/requests/forwarding.py
+++ b/ringseam/gateway/requests/forwarding.py
@@ -260,7 +260,7 @@
         placements = self.attempts.placements
         if not context.route.affinity or not placements.must_wait(context):
             return False
-        await placements.foresee(context)
+        await placements.predict(context)
         if not context.available_in_s:
             return False
         await self.responder.refuse(
@@ -323,5 +323,5 @@
         shared_tokens = sum(part.tokens for part in context.request.prefix[:-1])
         if shared_tokens < _LONG_PREFIX_TOKENS:
             return ''
-        engine = await self.attempts.placements.foresee(context)
+        engine = await self.attempts.placements.predict(context)
         return engine.zone if engine else ''
--- a/ringseam/gateway/requests/sending.py
+++ b/ringseam/gateway/requests/sending.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ringseam.calls import CallHeaders
-from ringseam.gateway.engines.silence import OpenAnswer
+from ringseam.gateway.engines.silence import PendingResponse
 from ringseam.gateway.priorities import engine_urgency
 from ringseam.gateway.requestcontext import Answered, LossCause, Lost, NotRun
 from ringseam.platform.requests import decode_marks, encode_call
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from ringseam.backends import BackendReport
     from ringseam.clock import Clock
-    from ringseam.gateway.engines.silence import SilenceBook
+    from ringseam.gateway.engines.silence import SilenceDetector
     from ringseam.gateway.following.health import HealthBook
     from ringseam.gateway.following.serverwords import ServerWords
     from ringseam.gateway.requestcontext import RequestContext, TryOutcome
@@ -40,7 +40,7 @@
         *,
         pool: ChannelPool,
         health: HealthBook,
-        silence: SilenceBook,
+        silence: SilenceDetector,
         clock: Clock,
         words: ServerWords,
     ) -> None:
@@ -119,12 +119,12 @@
         self, channel: Channel, context: RequestContext, server: BackendReport
     ) -> None:
         if context.route.affinity:
-            open_response = OpenAnswer(
+            open_response = PendingResponse(
                 channel=channel,
                 sent_at=self.clock.now(),
                 may_repeat=context.tries.may_repeat,
             )
-            self.silence.sent(server.instance, context.request.attempt_id, open_response)
+            self.silence.request_sent(server.instance, context.request.attempt_id, open_response)
 
     async def _read_response(
         self, channel: Channel, context: RequestContext, server: BackendReport
@@ -137,7 +137,7 @@
             # A response to an earlier request on this connection.
             await channel.whole_body()
             channel.skip_answer()
-        self.silence.heard(server.instance, marks.attempt_id, self.clock.now(), event=False)
+        self.silence.data_received(server.instance, marks.attempt_id, self.clock.now(), event=False)
         self.words.heard(server.instance, marks)
         if marks.load is not None:
             self._record_load(server, marks.load.running, marks.load.waiting)
--- a/ringseam/gateway/role.py
+++ b/ringseam/gateway/role.py
@@ -9,9 +9,9 @@
 from ringseam.clock import MS_PER_S
 from ringseam.control.founding import cluster_addresses
 from ringseam.events import Event
-from ringseam.gateway.engines.client import PlaceClient
+from ringseam.gateway.engines.client import PlacementClient
 from ringseam.gateway.engines.messages import PLACE, PROGRESS
-from ringseam.gateway.engines.silence import SilenceBook
+from ringseam.gateway.engines.silence import SilenceDetector
 from ringseam.gateway.following.follower import Follower
 from ringseam.gateway.following.guard import Guard
 from ringseam.gateway.following.health import HealthBook
@@ -72,7 +72,7 @@
         self.metrics = Metrics()
         self.health = HealthBook()
         self.lag = LoopLag()
-        self.silence = SilenceBook()
+        self.silence = SilenceDetector()
         self.pool = ChannelPool(clock=self.node.clock)
         self.retries = WindowRetries(
             ratio=own['retry_ratio'],
@@ -113,7 +113,7 @@
                 slack=own['cold_slack'],
             ),
         )
-        self.placements = PlaceClient(
+        self.placements = PlacementClient(
             node=self.node,
             client=self.client,
             follower=self.follower,
@@ -212,14 +212,14 @@
     def abandon_silent_engines(self) -> None:
         """Eject unresponsive engines and move their requests to other servers."""
         now = self.node.clock.now()
-        for instance in self.silence.silent(now):
+        for instance in self.silence.silent_engines(now):
             report = self.follower.view.backends.get(instance)
             if report is not None and now >= self.health.of(instance).ejected_until:
-                self.placements.fell_silent(report.service, instance)
+                self.placements.report_silent(report.service, instance)
                 self.node.events.emit(logger, Event.engine_silent, backend=instance)
             self.guard.ends.fell_silent(instance, report)
-            for request in self.silence.give_up(instance):
-                self.silence.ended(instance, request)
+            for request in self.silence.close_repeatable(instance):
+                self.silence.response_ended(instance, request)
 
     def _register_methods(self) -> None:
         self.server.add(PIECES, self.pieces.serve_pieces)
--- a/ringseam/model/engines.py
+++ b/ringseam/model/engines.py
@@ -18,7 +18,7 @@
 
     from ringseam.backends import BackendReport
     from ringseam.clock import Clock
-    from ringseam.gateway.engines.silence import SilenceBook
+    from ringseam.gateway.engines.silence import SilenceDetector
     from ringseam.gateway.following.health import HealthBook
     from ringseam.gateway.following.serverwords import ServerWords
     from ringseam.gateway.requestcontext import RequestContext, TryOutcome
@@ -235,7 +235,7 @@
 
     engines: dict[str, ModelEngine]
     kept: Results
-    silence: SilenceBook
+    silence: SilenceDetector
     zone: str
     zone_s: float
     #: How many events a request is answered with.
--- a/ringseam/model/gateways.py
+++ b/ringseam/model/gateways.py
@@ -10,9 +10,9 @@
 from ringseam.backends import BackendView, GatewayState
 from ringseam.control.quarantining import QuarantineService
 from ringseam.errors import UnreachableError
-from ringseam.gateway.engines.client import PlaceClient
+from ringseam.gateway.engines.client import PlacementClient
 from ringseam.gateway.engines.messages import PLACE, PROGRESS
-from ringseam.gateway.engines.silence import SilenceBook
+from ringseam.gateway.engines.silence import SilenceDetector
 from ringseam.gateway.following.guard import Guard
 from ringseam.gateway.following.health import HealthBook
 from ringseam.gateway.following.ownership import Ownership
@@ -193,7 +193,7 @@
                 pauses=words.pauses,
             ),
         )
-        self.placements = PlaceClient(
+        self.placements = PlacementClient(
             node=node,
             client=client,
             follower=self.follower,
@@ -205,7 +205,7 @@
         sender: Any = ModelSender(
             engines=servers.engines,
             kept=servers.kept,
-            silence=SilenceBook(),
+            silence=SilenceDetector(),
             zone=zone,
             zone_s=links.zone_s,
             events_of=servers.events_of,
--- a/tests/test_gateway/test_engines/test_engines_silence.py
+++ b/tests/test_gateway/test_engines/test_engines_silence.py
@@ -8,28 +8,28 @@
 from ringseam.gateway.engines.silence import (
     FIRST_SILENCE_S,
     STREAMING_SILENCE_S,
-    OpenAnswer,
-    SilenceBook,
+    PendingResponse,
+    SilenceDetector,
 )
 
 ENGINE = BackendId('e')
 
 
-class Line:
+class FakeConnection:
     closed = False
 
     def close(self):
         self.closed = True
 
 
-def answer(sent_at=0.0, *, may_repeat=True):
-    return OpenAnswer(channel=Line(), sent_at=sent_at, may_repeat=may_repeat)
+def response(sent_at=0.0, *, may_repeat=True):
+    return PendingResponse(channel=FakeConnection(), sent_at=sent_at, may_repeat=may_repeat)
 
 
-def book(**answers):
-    found = SilenceBook()
-    for request, known in answers.items():
-        found.sent(ENGINE, request, known)
+def new_detector(**responses):
+    found = SilenceDetector()
+    for request, pending in responses.items():
+        found.request_sent(ENGINE, request, pending)
     return found
 
 
@@ -48,38 +48,38 @@
     ],
 )
 def test_silence_of_one_stream(heard, now, silent):
-    known = book(r=answer())
+    detector = new_detector(r=response())
     for at, event in heard:
-        known.heard(ENGINE, 'r', at, event=event)
-    assert known.silent(now) == ([ENGINE] if silent else [])
+        detector.data_received(ENGINE, 'r', at, event=event)
+    assert detector.silent_engines(now) == ([ENGINE] if silent else [])
 
 
 def test_events_of_any_stream_show_that_the_engine_lives():
-    known = book(r=answer(), q=answer())
-    known.heard(ENGINE, 'r', 0.1, event=True)
-    known.heard(ENGINE, 'q', 3.0, event=True)
-    assert not known.silent(3.5)
+    detector = new_detector(r=response(), q=response())
+    detector.data_received(ENGINE, 'r', 0.1, event=True)
+    detector.data_received(ENGINE, 'q', 3.0, event=True)
+    assert not detector.silent_engines(3.5)
 
 
 def test_request_that_was_just_sent_to_an_idle_engine_is_not_overdue():
-    known = book(r=answer())
-    known.heard(ENGINE, 'r', 0.1, event=True)
-    known.ended(ENGINE, 'r')
-    known.sent(ENGINE, 'q', answer(sent_at=10))
-    assert not known.silent(10.5)
+    detector = new_detector(r=response())
+    detector.data_received(ENGINE, 'r', 0.1, event=True)
+    detector.response_ended(ENGINE, 'r')
+    detector.request_sent(ENGINE, 'q', response(sent_at=10))
+    assert not detector.silent_engines(10.5)
 
 
 def test_only_what_may_be_repeated_is_given_up():
-    once, again = answer(may_repeat=False), answer()
-    known = book(once=once, again=again)
-    assert known.give_up(ENGINE) == ['again']
+    once, again = response(may_repeat=False), response()
+    detector = new_detector(once=once, again=again)
+    assert detector.close_repeatable(ENGINE) == ['again']
     assert again.channel.closed
     assert not once.channel.closed
 
 
 def test_nothing_is_kept_of_answers_that_are_over():
-    known = book(r=answer())
-    known.ended(ENGINE, 'r')
-    known.ended(ENGINE, 'r')
-    known.heard(ENGINE, 'r', 1, event=True)
-    assert not known.lines
+    detector = new_detector(r=response())
+    detector.response_ended(ENGINE, 'r')
+    detector.response_ended(ENGINE, 'r')
+    detector.data_received(ENGINE, 'r', 1, event=True)
+    assert not detector.engines
--- a/tests/test_gateway/test_following/test_following_coldness.py
+++ b/tests/test_gateway/test_following/test_following_coldness.py
@@ -13,7 +13,7 @@
 from ringseam.backends import BackendId, BackendReport, GatewayState
 from ringseam.control.backenddirectory import BackendDirectory
 from ringseam.following import WatchNews, WatchRequest
-from ringseam.gateway.engines.messages import PlacedPart, PlaceRequest
+from ringseam.gateway.engines.messages import PlaceRequest, PromptPart
 from ringseam.gateway.engines.placement import Placer
 from ringseam.gateway.following.coldness import ColdBook
 from ringseam.gateway.following.follower import Follower
@@ -62,7 +62,7 @@
 
 def ask(number, dice):
     session = f's{dice.randrange(4)}'
-    parts = (PlacedPart(name=session, tokens=4000), PlacedPart(name=f'o{number}', tokens=500))
+    parts = (PromptPart(name=session, tokens=4000), PromptPart(name=f'o{number}', tokens=500))
     return PlaceRequest(
         request=f'r{number}',
         service='llm',
--- a/tests/test_model/test_model_loads.py
+++ b/tests/test_model/test_model_loads.py
@@ -99,8 +99,8 @@
     """
     turned = with_engines_turned(pattern('bursts'), factor)
     untold = run_experiment(turned, seed=1)
-    known = factor * placement.READ_TOKENS_PER_S
-    monkeypatch.setattr(placement, 'READ_TOKENS_PER_S', known)
+    known = factor * placement.PREFILL_TOKENS_PER_S
+    monkeypatch.setattr(placement, 'PREFILL_TOKENS_PER_S', known)
     told = run_experiment(turned, seed=1)
     assert untold.net > told.net - 0.05
 
