--- a/ringseam/gateway/engines/__init__.py
+++ b/ringseam/gateway/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Where on the model engines a request runs, and engines that fall silent."""
+"""Placement of requests on model engines, and detection of silent engines."""
--- a/ringseam/gateway/engines/client.py
+++ b/ringseam/gateway/engines/client.py
@@ -1,4 +1,4 @@
-"""Asking the owner of an engine service where a request shall run."""
+"""Client and server of placement calls to the owner of an engine service."""
 
 from __future__ import annotations
 
@@ -41,26 +41,27 @@
 
 logger = logging.getLogger(__name__)
 
-#: The owner is milliseconds away; a request is placed here after this, seconds.
+#: Timeout of placement calls, after which the gateway places the request itself, seconds. A
+#: round trip to the owner takes milliseconds.
 _PLACE_TIMEOUT_S = 0.06
 _PROGRESS_TIMEOUT_S = 1.0
-#: An owner that didn't answer in time isn't asked for places again for this
-#: long, seconds. Pieces still go to it: two gateways that form batches for the
-#: same servers get in each other's way, two that place requests hardly do.
+#: An owner that didn't reply in time gets no placement calls for this long, seconds. Pieces
+#: are still sent to it: two gateways that form batches for the same servers disturb each
+#: other, two that place requests hardly do.
 _OWNER_BACKOFF_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class EngineChoice:
-    """Where a request shall run, and how long it has to wait before, seconds."""
+    """The engine for a request, and how long it must wait before it is sent, seconds."""
 
-    #: None: there is one with a limit, and no turn left at it; ``wait_s`` tells until when.
+    #: None: only rate-limited engines are left; ``wait_s`` is the time until a send permit.
     engine: BackendReport | None
     wait_s: float
 
 
 class PlacementClient:
-    """Place requests by the owner's view, or by this gateway's own."""
+    """Place requests through the owner of their service, or locally as a fallback."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         ownership: Ownership,
         turns: Turns,
     ) -> None:
-        """Begin without a memory of prompts."""
+        """Start without knowledge of cached prompts."""
         self.node = node
         self.clock = node.clock
         self.client = client
@@ -83,11 +84,11 @@
         self.pace = turns.pace
         self.placers: dict[str, Placer] = {}
         self.tasks = TaskSet()
-        #: Until when owners that didn't answer are not asked, by address.
+        #: Until when owners that didn't reply are not called, by address.
         self.skipped_owners: dict[str, float] = {}
 
     async def choose(self, work: RequestContext) -> BackendReport | None:
-        """Return where a request shall run, once it may go there."""
+        """Choose the engine for a request, and wait until it may be sent."""
         choice = await self._choose(self._query(work, dry=False))
         while choice is not None and choice.engine is not None and choice.wait_s:
             was_limited = self._is_limited(choice.engine)
@@ -100,13 +101,13 @@
         return choice.engine if choice else None
 
     async def predict(self, work: RequestContext) -> BackendReport | None:
-        """Return where a request would run now."""
+        """Return the engine that a request would be placed on now."""
         choice = await self._choose(self._query(work, dry=True))
         self._record_wait(work, choice)
         return choice.engine if choice else None
 
     def must_wait(self, work: RequestContext) -> bool:
-        """Return whether each server that a request may run on names a limit or pauses."""
+        """Return whether all servers that a request may use are rate-limited or paused."""
         paused = self.pace.pauses.paused(self.clock.now())
         if not (paused or self.turns.limits.count):
             return False
@@ -116,19 +117,19 @@
         )
 
     def started(self, work: RequestContext) -> None:
-        """Tell that the first event has come."""
+        """Report that the first event of a request has arrived."""
         self._report_progress(work, over=False)
 
     def ended(self, work: RequestContext) -> None:
-        """Tell that the request is over."""
+        """Report that a request is over."""
         self._report_progress(work, over=True)
 
     def report_silent(self, service: ServiceName, instance: BackendId) -> None:
-        """Tell that an engine owes answers and has gone silent."""
+        """Report that an engine with pending responses has gone silent."""
         self._publish(ProgressReport(service=service, silent=instance))
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget what engines that are gone keep."""
+        """Drop the state of engines that are gone."""
         for placer in self.placers.values():
             placer.keep_only(instances)
 
@@ -145,7 +146,7 @@
         return PlaceReply(instance=instance, wait_s=choice.wait_s)
 
     async def serve_progress(self, received: Received) -> Empty:
-        """Hear how a request of another gateway goes on."""
+        """Apply a progress report of another gateway."""
         self._apply_progress(received.body)
         return Empty()
 
@@ -162,7 +163,7 @@
                 if choice.engine is not None and not query.dry:
                     self._record(query, choice)
                 return choice
-        # Any other gateway may have to place requests by itself as well.
+        # Any other gateway may have to place requests locally as well.
         return self._place_here(query, peers=self.follower.gateway_names)
 
     def _record(self, query: PlaceRequest, choice: EngineChoice) -> None:
@@ -177,12 +178,12 @@
         return self.turns.limits.of(server.instance) is not None
 
     def _accepts_work(self, server: BackendReport) -> bool:
-        """Return whether a server takes new work from this gateway."""
+        """Return whether a server accepts new requests from this gateway."""
         paused = self.pace.pauses.left_s(server.instance, self.clock.now())
         return not paused and self.follower.is_serving(server)
 
     def _record_wait(self, work: RequestContext, choice: EngineChoice | None) -> None:
-        """Note after how long a request that was not placed may be."""
+        """Record after how long a request that was not placed may be sent."""
         if choice is not None and choice.engine is not None:
             work.available_in_s = 0
             return
@@ -191,12 +192,12 @@
         work.available_in_s = min((wait_s for wait_s in (end_s, permit_s) if wait_s), default=0)
 
     def _excluded_servers(self, work: RequestContext) -> tuple[str, ...]:
-        """Return the servers that the owner, which may not know it, shall not choose."""
+        """Return servers to exclude that the owner may not know to be unavailable."""
         leaving = self.follower.view.leaving_servers(work.service)
         return tuple(work.tries.tried.union(self._paused(work), leaving))
 
     def _paused(self, work: RequestContext) -> list[BackendId]:
-        """Return the servers that want nothing from this gateway now."""
+        """Return the servers that have paused requests from this gateway."""
         paused = self.pace.pauses.paused(self.clock.now())
         if not paused:
             return []
@@ -261,7 +262,7 @@
         try:
             received = await self.client.call(owner, PLACE, query, timeout_s=_PLACE_TIMEOUT_S)
         except UnreachableError as error:
-            logger.debug('placed here: %s', error)
+            logger.debug('owner did not place the request, placing it locally: %s', error)
             self.skipped_owners[owner] = self.clock.now() + _OWNER_BACKOFF_S
             return None
         reply: PlaceReply = received.body
@@ -286,7 +287,7 @@
         try:
             await self.client.call(owner, PROGRESS, report, timeout_s=_PROGRESS_TIMEOUT_S)
         except UnreachableError as error:
-            logger.debug('progress not told: %s', error)
+            logger.debug('progress not reported to the owner: %s', error)
 
     def _apply_progress(self, report: ProgressReport) -> None:
         placer = self._placer(report.service)
--- a/ringseam/gateway/engines/messages.py
+++ b/ringseam/gateway/engines/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which gateways have requests placed by the owner of a service."""
+"""Messages between gateways and the owner of an engine service."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class PromptPart(Message, frozen=True, kw_only=True):
-    """A part of a prompt, with its tokens."""
+    """A part of a prompt and its number of tokens."""
 
     name: str
     tokens: int
 
 
 class PlaceRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """What must be known to place a request; durations in milliseconds.
+    """Ask the owner of a service to place a request; durations are in milliseconds.
 
-    With ``dry`` nothing is remembered.
+    With ``dry`` the placement is computed but not recorded.
     """
 
     request: str
@@ -35,23 +35,23 @@
     avoid: tuple[str, ...] = ()
     dry: bool = False
     account: str = ''
-    #: Availability zones in which it may run; None: all.
+    #: Availability zones in which the request may run; None: all.
     zones: Optional[tuple[str, ...]] = None
-    #: What the asking gateway knows of the servers' limits.
+    #: The rate limits of servers that the asking gateway knows.
     limits: tuple[ToldLimit, ...] = ()
 
 
 class PlaceReply(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """The chosen engine, if there is one."""
+    """The chosen engine; empty if there is none."""
 
     instance: str = ''
-    #: How long the request has to wait before it may go there, seconds; without an engine:
-    #: until one with a limit may have a turn left, 0: there is none.
+    #: How long the request must wait before it may be sent, seconds. Without an engine: time
+    #: until a rate-limited engine may have a send permit; 0: there is no such engine.
     wait_s: float = 0
 
 
 class ProgressReport(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """A request's first event has come, or it is over; or an engine is silent."""
+    """Report a request's first event, the end of a request, or a silent engine."""
 
     service: str
     request: str = ''
--- a/ringseam/gateway/engines/placement.py
+++ b/ringseam/gateway/engines/placement.py
@@ -1,8 +1,8 @@
-"""Placement of requests on model engines: a plain class, costs in one unit.
+"""Placement of requests on model engines by cost, without I/O.
 
-Costs are shares of the worth of one request of the highest priority, so that
-lateness, prompts that are read again, streams that are disturbed and bytes
-that cross zones can be weighed against each other.
+Costs are fractions of the value of one request of the highest priority, so that late
+responses, repeated prefill of cached prompts, stalled streams and traffic between
+availability zones can be compared with each other.
 """
 
 from __future__ import annotations
@@ -27,43 +27,41 @@
     from ringseam.gateway.following.pacing import Pace
     from ringseam.routes import BackendService
 
-#: Prompt tokens that an engine is taken to read in a second.
+#: Assumed prefill rate of an engine, prompt tokens per second.
 PREFILL_TOKENS_PER_S = 32_400.0
-#: Attention over what was read before makes long prompts slower by about this.
+#: Prefill of long prompts is slower by about this factor, due to attention over earlier tokens.
 _LONG_PREFILL_FACTOR = 1.3
-#: From a request's arrival at an idle engine to its first event, seconds.
+#: Time from a request's arrival at an idle engine to its first event, seconds.
 _FIRST_EVENT_S = 0.08
-#: Unread tokens beyond this take three steps or more to read, and an event of
-#: a running stream takes three steps: it comes later than half a second.
+#: Prefill of more tokens than this takes three steps or more. An event of a running stream
+#: takes three steps, so it is then delayed by more than half a second.
 _STALLING_TOKENS = 8192
-#: The first token is predicted this well, seconds: lateness becomes certain
-#: over this span.
+#: Uncertainty of the predicted time of the first token, seconds: the probability of being
+#: late rises from 0 to 1 over this span.
 _PREDICTION_SPREAD_S = 0.6
-#: A shared token that is read again costs this.
+#: Cost of the repeated prefill of a token that another engine has cached.
 _RECOMPUTE_COST_PER_TOKEN = 0.055e-3
-#: A byte that crosses zones costs this.
+#: Cost of a byte transferred between availability zones.
 _CROSS_ZONE_COST_PER_BYTE = 0.016e-6
-#: A second of waiting costs this even where it makes nothing late.
+#: Cost of a second of waiting, even if the response is not late.
 _WAIT_COST_PER_S = 0.05
-#: An ejected engine is taken only when all are.
+#: Added cost of an ejected engine, so that it is chosen only if all are ejected.
 _EJECTED_COST = 1000.0
-#: A share of an engine's memory is left for the requests that run.
+#: Share of an engine's memory that holds cached prompts; running requests use the rest.
 _CACHE_SHARE = 0.7
-#: A request that nobody reported the end of is forgotten this long after its
-#: deadline, seconds.
+#: A request whose end was not reported is dropped this long after its deadline, seconds.
 _EXPIRY_MARGIN_S = 1.0
-#: Up to this many engines all are compared; of more, some that keep the prompt and some
-#: others are.
+#: Up to this many engines are all compared; of more, only a sample is.
 _MAX_COMPARED = 48
-#: Of more engines: how many that keep the longest part of the prompt, newest first, and
-#: how many of all.
+#: Size of the sample: engines that cache the longest prefix of the prompt, most recent first,
+#: and engines drawn from all.
 _CACHING_SAMPLE = 16
 _RANDOM_SAMPLE = 16
 
 
 @dataclass(kw_only=True)
 class PlacedRequest:
-    """A request on an engine."""
+    """A request that was placed on an engine."""
 
     instance: BackendId
     prefill_tokens: int
@@ -74,17 +72,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Placement:
-    """Where a request shall run, and what decided it."""
+    """The engine for a request, and the quantities that decided it."""
 
     engine: BackendReport
     cost: float
-    #: Prompt tokens that the engine has to read for it.
+    #: Prompt tokens of the request that the engine has to prefill.
     prefill_tokens: int
-    #: Prompt tokens that wait there before it.
+    #: Prompt tokens queued for prefill there before it.
     backlog_tokens: int
-    #: Worth of the streams there that would pause for too long.
+    #: Value of the streams there that would pause for too long.
     stalled_value: float
-    #: How long the request has to wait before it may go there, seconds.
+    #: How long the request must wait before it may be sent, seconds.
     wait_s: float = 0
 
 
@@ -96,9 +94,9 @@
     pace: Pace
     caches: dict[BackendId, PrefixCache] = field(default_factory=dict)
     requests: dict[str, PlacedRequest] = field(default_factory=dict)
-    #: The same by engine, first come first.
+    #: The same requests by engine, in order of arrival.
     requests_by_engine: dict[BackendId, dict[str, PlacedRequest]] = field(default_factory=dict)
-    #: The engines that keep a part, the newest last.
+    #: Engines that cache each prompt part, most recent last.
     engines_by_part: dict[str, dict[BackendId, None]] = field(default_factory=dict)
 
     def place(
@@ -110,10 +108,10 @@
         *,
         peers: Collection[str] = (),
     ) -> Placement | None:
-        """Return the engine with the least cost, and remember the request.
+        """Choose the engine with the least cost, and record the request there.
 
-        :param peers: all gateways that place requests on these engines by themselves,
-            this one among them; none where it decides alone.
+        :param peers: all gateways that place requests on these engines independently,
+            including this one; empty if this gateway is the only one.
         """
         self._drop_expired(now)
         compared = self._select_engines(query, engines)
@@ -152,9 +150,9 @@
         service: BackendService,
         now: float,
     ) -> None:
-        """Remember that a request was placed on an engine."""
+        """Record that a request was placed on an engine, and its effect on the cache."""
         cache = self._cache(instance)
-        # A request that is placed again is somewhere else now.
+        # The request may have been placed on another engine before.
         self.ended(query.request)
         if not any(placed.prefill_tokens for placed in self._requests_on(instance)):
             cache.last_prefill_at = now
@@ -172,12 +170,12 @@
             self._record_part(instance, part, capacity)
 
     def track(self, request: str, placed: PlacedRequest) -> None:
-        """Count a request on an engine."""
+        """Count a request as running on an engine."""
         self.requests[request] = placed
         self.requests_by_engine.setdefault(placed.instance, {})[request] = placed
 
     def started(self, request: str, now: float) -> None:
-        """Hear that the first event has come."""
+        """Record that the first event of a request has arrived."""
         known = self.requests.get(request)
         if known is not None:
             known.streaming = True
@@ -185,19 +183,19 @@
             self._cache(known.instance).last_prefill_at = now
 
     def ended(self, request: str) -> None:
-        """Hear that a request is over."""
+        """Record that a request is over."""
         placed = self.requests.pop(request, None)
         if placed is not None:
             self.requests_by_engine[placed.instance].pop(request)
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget engines that are gone."""
+        """Drop the cached prompts of engines that are gone."""
         for instance in set(self.caches) - instances:
             for name in self.caches.pop(instance).token_counts:
                 self._evict_part(name, instance)
 
     def prefill_tokens(self, query: PlaceRequest, instance: BackendId) -> int:
-        """Return how many prompt tokens an engine would have to read."""
+        """Return how many prompt tokens an engine would have to prefill."""
         return max(0, query.prompt_tokens - self._cached_tokens(query, instance))
 
     def permit_in_s(
@@ -208,7 +206,7 @@
         *,
         peers: Collection[str] = (),
     ) -> float:
-        """Return after how long an engine with a limit has a turn; 0: there is none."""
+        """Return after how long a rate-limited engine has a send permit; 0: none is limited."""
         waits = [
             self.pace.limit_wait_s(engine.instance, now, peers=peers)
             for engine in engines
@@ -226,7 +224,7 @@
         now: float,
         peers: Collection[str],
     ) -> float:
-        """Return how long a request has to wait at an engine; infinite: it may not."""
+        """Return how long a request must wait for an engine; infinite: it may not use it."""
         limit_wait_s = self.pace.limit_wait_s(engine.instance, now, peers=peers)
         if limit_wait_s > longest_wait_s(query.priority):
             return float('inf')
@@ -237,10 +235,10 @@
         query: PlaceRequest,
         engines: Collection[BackendReport],
     ) -> Collection[BackendReport]:
-        """Return the engines to compare: all of a few, a part of many.
+        """Return the engines to compare: all of a small fleet, a sample of a large one.
 
-        The part is the same for all requests with the same shared parts, so that those
-        find each other's prompts.
+        Requests with the same shared prompt parts get the same random sample, so that
+        they can use each other's cached prompts.
         """
         if len(engines) <= _MAX_COMPARED:
             return engines
@@ -253,7 +251,7 @@
         return left or engines
 
     def _caching_engines(self, query: PlaceRequest) -> set[BackendId]:
-        """Return some engines that keep the longest beginning of a prompt."""
+        """Return some engines that cache the longest known prefix of a prompt."""
         for part in reversed(query.prefix):
             known = self.engines_by_part.get(part.name)
             if known:
@@ -295,11 +293,11 @@
         max_cached_tokens: int,
         wait_s: float,
     ) -> Placement:
-        """Return what it costs to place a request on an engine.
+        """Return the placement of a request on an engine, with its cost.
 
-        :param cached: tokens of the prompt that the engine keeps.
-        :param most: the same at the engine that keeps most of them.
-        :param wait_s: how long the request has to wait before it may go there.
+        :param cached_tokens: tokens of the prompt that the engine has cached.
+        :param max_cached_tokens: the largest such number among the compared engines.
+        :param wait_s: how long the request must wait before it may be sent.
         """
         instance = engine.instance
         engine_requests = self._requests_on(instance)
@@ -327,16 +325,16 @@
         )
 
     def _requests_on(self, instance: BackendId) -> Collection[PlacedRequest]:
-        """Return what was placed on an engine, first come first."""
+        """Return the requests placed on an engine, in order of arrival."""
         return self.requests_by_engine.get(instance, {}).values()
 
     def _backlog_tokens(
         self, instance: BackendId, engine_requests: Collection[PlacedRequest], now: float
     ) -> int:
-        """Return the prompt tokens that an engine has yet to read.
+        """Return the number of prompt tokens that an engine has yet to prefill.
 
-        What it has read since a prompt was last done is guessed from its usual
-        speed, and is never more than the longest prompt that waits.
+        The tokens processed since its last finished prefill are estimated from the usual
+        rate, and are never more than those of the longest queued prompt.
         """
         waiting = [placed.prefill_tokens for placed in engine_requests if placed.prefill_tokens]
         if not waiting:
@@ -346,7 +344,7 @@
         return sum(waiting) - done
 
     def _lateness_cost(self, query: PlaceRequest, tokens: int, wait_s: float) -> float:
-        """Return the expected loss by waiting ``wait_s`` and then reading ``tokens``."""
+        """Return the expected cost of waiting ``wait_s`` and the prefill of ``tokens``."""
         first = wait_s + _FIRST_EVENT_S + _LONG_PREFILL_FACTOR * tokens / PREFILL_TOKENS_PER_S
         spare = query.objective_ms / MS_PER_S - first
         late = min(1, max(0, 1 - spare / _PREDICTION_SPREAD_S))
@@ -359,10 +357,10 @@
 
 
 def _stalled_value(engine_requests: Collection[PlacedRequest], tokens: int) -> float:
-    """Return the worth of streams that pause too long while ``tokens`` are read.
+    """Return the value of streams that pause too long during the prefill of ``tokens``.
 
-    A running stream pauses for all of them; one that is yet to begin pauses for
-    those that are read after its own.
+    A running stream pauses for all of them; one that has yet to start pauses for those
+    that are processed after its own.
     """
     stalled: float = 0
     for placed in engine_requests:
@@ -373,11 +371,11 @@
 
 
 def _tie_break_key(query: PlaceRequest, engine: BackendReport) -> bytes:
-    """Order engines of equal cost alike at all gateways, by the shared parts."""
+    """Return a sort key that orders engines of equal cost alike at all gateways."""
     key = f'{_shared_key(query)}/{engine.instance}'
     return hashlib.blake2b(key.encode(), digest_size=8).digest()
 
 
 def _shared_key(query: PlaceRequest) -> str:
-    """Return the last part of a prompt that other requests share."""
+    """Return the name of the last prompt part that other requests may share."""
     return query.prefix[-2].name if len(query.prefix) > 1 else query.request
--- a/ringseam/gateway/engines/prefixcache.py
+++ b/ringseam/gateway/engines/prefixcache.py
@@ -1,4 +1,4 @@
-"""What an engine is believed to keep of prompts; a plain class."""
+"""Model of an engine's prefix cache, without I/O."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 @dataclass(kw_only=True)
 class PrefixCache:
-    """What is believed of one engine's memory, least recently used first."""
+    """Prompt parts that one engine presumably caches, least recently used first."""
 
     token_counts: collections.OrderedDict[str, int] = field(default_factory=collections.OrderedDict)
     tokens: int = 0
-    #: When the engine was last seen to have read a prompt, or began to read one.
+    #: When the engine last finished the prefill of a prompt, or started one while idle.
     last_prefill_at: float = float('-inf')
 
     def touch(self, part: PromptPart, capacity: float) -> list[str]:
-        """Remember a part as the newest; return those dropped beyond the memory."""
+        """Mark a part as most recently used; return the parts that are evicted for it."""
         self.tokens -= self.token_counts.pop(part.name, 0)
         self.token_counts[part.name] = part.tokens
         self.tokens += part.tokens
--- a/ringseam/gateway/engines/silence.py
+++ b/ringseam/gateway/engines/silence.py
@@ -1,8 +1,8 @@
-"""Engines that have gone silent, told from slow ones; a plain class.
+"""Detection of engines that have gone silent, as opposed to slow ones.
 
-A crashed host sends no reset: its connections stay open and say nothing. One
-silent stream may be a long pause, but an engine makes events for all its
-streams in turn, so it is the silence of all of them that counts.
+A crashed host sends no reset: its connections stay open without any data. A single
+stream may pause for long, but an engine produces events for all its streams in turn, so
+it counts as silent only if all of them are.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 if TYPE_CHECKING:
     from ringseam.backends import BackendId
 
-#: An engine with streams under way is silent after this long without a byte,
-#: seconds. An event takes three steps; each reads 4,096 prompt tokens at most,
-#: 0.13 s, so 0.4 s between two events is usual under load.
+#: An engine with running streams is silent after this long without a byte, seconds. An
+#: event takes three steps, each with a prefill of at most 4,096 prompt tokens in 0.13 s, so
+#: 0.4 s between two events is usual under load.
 STREAMING_SILENCE_S = 0.8
-#: An engine that has yet to begin all its streams is silent after this long,
-#: seconds: the longest prompts, of 40,000 tokens, take 1.1 s to read.
+#: An engine none of whose streams has started is silent after this long, seconds: the
+#: prefill of the longest prompts, of 40,000 tokens, takes 1.1 s.
 FIRST_SILENCE_S = 1.5
 
 
 class Closable(Protocol):
-    """A connection that can be given up."""
+    """A connection that can be closed."""
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
 
 
 @dataclass(kw_only=True)
 class PendingResponse:
-    """A request that was sent and whose answer isn't over."""
+    """A request that was sent and whose response isn't complete."""
 
     channel: Closable
     sent_at: float
-    #: Whether it may be sent to another server when this one is given up.
+    #: Whether the request may be sent to another server if the connection is closed.
     may_repeat: bool
     streaming: bool = False
 
 
 @dataclass(kw_only=True)
 class EngineActivity:
-    """What one engine owes, and when it was heard last."""
+    """The pending responses of one engine, and when it last sent data."""
 
     last_data_at: float = float('-inf')
     responses: dict[str, PendingResponse] = field(default_factory=dict)
@@ -50,17 +50,17 @@
 
 @dataclass(kw_only=True)
 class SilenceDetector:
-    """Open answers by engine; times are absolute seconds."""
+    """Pending responses by engine; times are absolute seconds."""
 
     engines: dict[BackendId, EngineActivity] = field(default_factory=dict)
 
     def request_sent(self, instance: BackendId, request: str, response: PendingResponse) -> None:
-        """Hear that a request was sent."""
+        """Record that a request was sent."""
         engine = self.engines.setdefault(instance, EngineActivity())
         engine.responses[request] = response
 
     def data_received(self, instance: BackendId, request: str, now: float, *, event: bool) -> None:
-        """Hear that bytes came; ``event``: some of the stream itself."""
+        """Record that data arrived; ``event``: it belongs to the event stream itself."""
         engine = self.engines.get(instance)
         if engine is None:
             return
@@ -70,7 +70,7 @@
             response.streaming = True
 
     def response_ended(self, instance: BackendId, request: str) -> None:
-        """Hear that an answer is over or given up."""
+        """Record that a response is complete or abandoned."""
         engine = self.engines.get(instance)
         if engine is None:
             return
@@ -79,11 +79,11 @@
             self.engines.pop(instance)
 
     def silent_engines(self, now: float) -> list[BackendId]:
-        """Return the engines that owe answers and have gone silent."""
+        """Return the engines with pending responses that have gone silent."""
         return [instance for instance, engine in self.engines.items() if _is_silent(engine, now)]
 
     def close_repeatable(self, instance: BackendId) -> list[str]:
-        """Close what may be sent elsewhere, and return those requests."""
+        """Close the connections of requests that may be sent elsewhere; return these."""
         engine = self.engines.get(instance, EngineActivity())
         closed = [request for request, response in engine.responses.items() if response.may_repeat]
         for request in closed:
--- a/ringseam/gateway/stages/batching.py
+++ b/ringseam/gateway/stages/batching.py
@@ -1,8 +1,8 @@
-"""Batches of pieces for the servers of one stage service; a plain class.
+"""Batch the pieces of one stage service into calls to its servers, without I/O.
 
-A server works on one call at a time whatever its size, so pieces wait while
-all servers are busy and leave in full calls: the most urgent request first,
-its pieces together.
+A server runs one call per slot at a time whatever the call's size, so pieces are queued
+while all servers are busy and then sent in full batches: the most urgent request first,
+with all of its pieces together.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
     from ringseam.routes import BatchSpec, ServiceName
 
 
-#: A server that takes this many times longer than expected counts as slow.
+#: A server whose calls take this many times the expected time counts as slow.
 _SLOW_FACTOR = 1.8
-#: A server that has said that it is full is left alone this long, seconds.
+#: A server that reported that it is full gets no call for this long, seconds.
 FULL_BACKOFF_S = 0.06
-#: Of more idle servers than this only so many are looked at, by chance: there are some of
-#: each zone and of the quick ones among them.
+#: At most this many idle servers, sampled at random, are considered for a call. The sample
+#: is large enough to contain fast servers and servers of each availability zone.
 _MAX_COMPARED_SERVERS = 48
 
 
 @dataclass(kw_only=True)
 class QueueSnapshot:
-    """One look at all that waits, shared by the servers that a call is sought for."""
+    """The queue at one moment, shared by all servers considered for the next call."""
 
     servers: Collection[BackendReport]
     spec: BatchSpec
@@ -55,32 +55,32 @@
 
     @functools.cached_property
     def overflow(self) -> set[Piece]:
-        """Return the pieces that the next calls of their zones don't reach."""
+        """Return the pieces that don't fit into the next calls of their own zones."""
         return overflow_pieces(self.ordered, self.servers, self.spec)
 
 
 @dataclass(kw_only=True)
 class Batcher:
-    """Decide which pieces leave next, and for which server."""
+    """Decide which pieces are sent next, and to which server."""
 
     service: ServiceName
     health: HealthBook
     pace: Pace = field(default_factory=Pace)
-    #: Pieces that wait, in the order in which they came.
+    #: Queued pieces, in order of arrival.
     waiting: dict[Piece, None] = field(default_factory=dict)
     capacity: ResultCapacity = field(default_factory=ResultCapacity)
     throughput: Throughput = field(default_factory=Throughput)
-    #: Until when servers that said so are full.
+    #: Until when servers that reported to be full get no calls.
     full_until: dict[BackendId, float] = field(default_factory=dict)
     arrival_numbers: itertools.count[int] = field(default_factory=itertools.count)
     random: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        """Seed the choice of idle servers that are looked at."""
+        """Seed the sampling of idle servers."""
         self.random = random.Random(self.service)  # noqa: S311 - spreads load only
 
     def add(self, job: PieceJob, now: float) -> list[Piece]:
-        """Let the pieces of a job wait."""
+        """Queue the pieces of a job."""
         if not job.returned:
             self.throughput.arrivals.add(len(job.pieces), now)
         group = PieceGroup()
@@ -92,19 +92,19 @@
         return pieces
 
     def requeue_after_failure(self, piece: Piece, server: BackendId) -> None:
-        """Let a piece wait once more, for another server if there is one."""
+        """Queue a piece again after a failure, for another server if there is one."""
         piece.tries += 1
         piece.failed_servers.add(server)
         self.waiting[piece] = None
 
     def requeue_full(self, piece: Piece, server: BackendId, spec: BatchSpec, now: float) -> None:
-        """Let a piece wait that a server had no room for."""
+        """Queue a piece again that a server had no capacity for."""
         self.full_until[server] = now + FULL_BACKOFF_S
         self.capacity.mark_full(server, piece.job.result_bytes, spec, now)
         self.waiting[piece] = None
 
     def cancel(self, pieces: Collection[Piece]) -> None:
-        """Drop pieces that nobody waits for."""
+        """Remove pieces from the queue."""
         for piece in pieces:
             self.waiting.pop(piece, None)
 
@@ -114,7 +114,7 @@
         spec: BatchSpec,
         now: float,
     ) -> StageCall | None:
-        """Return the next call, or None while it is better to wait."""
+        """Return the next call, or None if none should be sent now."""
         if not self.waiting:
             return None
         idle = self._idle(servers, spec, now)
@@ -140,21 +140,21 @@
         spec: BatchSpec,
         now: float,
     ) -> list[Piece]:
-        """Return the pieces that can't be in time, while all servers have better to do.
+        """Return the pieces to reject, because they can't finish in time.
 
-        Pieces that are late are worked on when a server would be idle. While
-        others fill the next call of each server that doesn't come, so who waits
-        for them is better told at once. What is begun is finished.
+        Late pieces run only on servers that would otherwise be idle. While other pieces
+        fill the next call of every server, that does not happen, so late pieces are
+        rejected at once. Jobs that have started are finished.
 
-        What no call can make before its client's time is over is given up whatever
-        else waits.
+        Pieces that no call can finish before their deadline are rejected whatever else
+        is queued.
         """
         unmeetable = [piece for piece in self.waiting if _is_unmeetable(piece, spec, now)]
         next_calls = len(servers) * spec.slots * spec.batch
         if len(self.waiting) < next_calls:
             return unmeetable
         estimate = self.wait_estimate(servers, spec, now)
-        # All that waits is looked at once; what it waits is the same for its equals.
+        # The queue is scanned once; the wait is the same for all pieces of a precedence.
         waits = {
             precedence: estimate.wait_s(precedence)
             for precedence in estimate.counts_by_precedence
@@ -176,7 +176,7 @@
         spec: BatchSpec,
         now: float,
     ) -> WaitEstimate:
-        """Return how long new pieces would wait."""
+        """Estimate how long new pieces would wait."""
         if not servers:
             return WaitEstimate(waiting=len(self.waiting))
         return WaitEstimate(
@@ -193,18 +193,18 @@
         )
 
     def call_ended(self, call: StageCall) -> None:
-        """Hear that a call is over; results that weren't made need no room."""
+        """Free the slot of a finished call and the capacity reserved for its results."""
         instance = call.server.instance
         self.throughput.call_ended(instance)
         self.capacity.release(instance, sum(piece.job.result_bytes for piece in call.pieces))
 
     def remove_from_call(self, call: StageCall, piece: Piece) -> None:
-        """Take a piece out of a call that has not been sent."""
+        """Remove a piece from a call that has not been sent."""
         call.pieces.remove(piece)
         self.capacity.release(call.server.instance, piece.job.result_bytes)
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget servers that are gone."""
+        """Drop the state of servers that are gone."""
         self.capacity.keep_only(instances)
         self.throughput.keep_only(instances)
 
@@ -239,10 +239,10 @@
         spec: BatchSpec,
         now: float,
     ) -> int:
-        """Return how many pieces at the head a slow server leaves to the others.
+        """Return how many pieces at the head of the queue a slow server skips.
 
-        Those pieces are done sooner by waiting for one of the others than by
-        a call that takes ``slowness`` times as long.
+        Those pieces finish sooner if they wait for a faster server than in a call that
+        takes ``slowness`` times as long.
         """
         slowness = self.health.of(server.instance).slowness_at(now)
         if slowness < _SLOW_FACTOR:
@@ -270,11 +270,11 @@
         snapshot: QueueSnapshot,
         idle_zones: Collection[str],
     ) -> list[Piece]:
-        """Return the pieces of a call: those of its zone or in a hurry.
+        """Return the pieces for a call to a server: those of its zone, or urgent ones.
 
-        A server that would stay idle takes late pieces of other zones. One that left its
-        last call unanswered shows by the least urgent piece whether it answers again: until
-        then each call is lost for several times its length.
+        A server that would otherwise stay idle gets late pieces of other zones. One that
+        left its last call unanswered is probed with the least urgent piece, because a
+        call that it doesn't answer is lost for several times its normal duration.
         """
         spec, now, servers = snapshot.spec, snapshot.now, snapshot.servers
         left_to_faster = self._left_to_faster(server, servers, spec, now)
@@ -316,15 +316,15 @@
         spec: BatchSpec,
         now: float,
     ) -> list[Piece]:
-        """Return the first pieces that a call and the server's room take.
+        """Return the first pieces that fit into a batch and the server's free capacity.
 
-        The results of one job are of use together, so a job that a call doesn't
-        take whole is left to the next one: a part of it would hold room, and all
-        of it would be as late.
+        The results of a job are usable only together, so a job that doesn't fit as a whole
+        is left to the next call: a part of it would occupy capacity, and the job would
+        not finish any sooner.
         """
         free_bytes = self.capacity.free_bytes(server.instance, spec, now)
         if free_bytes >= self.capacity.nominal_bytes(spec):
-            # An empty server takes one piece, whatever its size.
+            # An empty server accepts one piece, whatever its size.
             free_bytes = max(free_bytes, pieces[0].job.result_bytes if pieces else 0)
         selected: list[Piece] = []
         for job_pieces in _by_job(pieces):
@@ -354,7 +354,7 @@
         return self.throughput.pieces_per_s(healthy, spec)
 
     def _usable_share(self, server: BackendReport, spec: BatchSpec) -> float:
-        """Return which part of its time a server may work, by the limit that it names."""
+        """Return the fraction of its time that a server's announced rate limit lets it work."""
         limit = self.pace.limits.of(server.instance)
         return 1 if limit is None else min(1, limit.pace_per_s * spec.whole_call_s / spec.slots)
 
@@ -380,12 +380,12 @@
 
 
 def _is_unmeetable(piece: Piece, spec: BatchSpec, now: float) -> bool:
-    """Return whether no call that begins now can make a piece within its time."""
+    """Return whether no call that starts now can finish a piece before its deadline."""
     return piece.job.deadline < now + spec.call_s
 
 
 def _by_job(pieces: list[Piece]) -> list[list[Piece]]:
-    """Return the pieces of each job together, in the order of the first of each."""
+    """Group pieces by job, in the order of the first piece of each job."""
     jobs: dict[PieceGroup, list[Piece]] = {}
     for piece in pieces:
         jobs.setdefault(piece.group, []).append(piece)
--- a/ringseam/gateway/stages/calllog.py
+++ b/ringseam/gateway/stages/calllog.py
@@ -1,4 +1,4 @@
-"""Log lines of the calls for pieces that a gateway makes."""
+"""Log the calls that a gateway makes to stage servers."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class CallLog:
-    """Say what was decided on calls, and by what."""
+    """Emit log events on calls, with the state that led to them."""
 
     def __init__(self, *, node: Node) -> None:
         """Log as ``node``."""
         self.node = node
 
     def sent(self, batcher: Batcher, call: StageCall) -> None:
-        """Say that a call leaves, and what waits behind it."""
+        """Log that a call is sent, and how many pieces are still queued."""
         self._emit(
             Event.pieces_sent,
             call,
@@ -35,7 +35,7 @@
         )
 
     def refused(self, batcher: Batcher, call: StageCall, piece_results: list[PieceResult]) -> None:
-        """Say that a server did not make some pieces."""
+        """Log that a server returned faults for some pieces."""
         self._emit(
             Event.pieces_refused,
             call,
@@ -45,7 +45,7 @@
         )
 
     def lost(self, call: StageCall, detail: str) -> None:
-        """Say that a call failed."""
+        """Log that a call failed."""
         self._emit(Event.pieces_lost, call, detail=detail)
 
     def _emit(self, event: Event, call: StageCall, **fields: object) -> None:
--- a/ringseam/gateway/stages/calls.py
+++ b/ringseam/gateway/stages/calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the backend servers that work on pieces."""
+"""HTTP calls to the backend servers that run pieces."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
     )
     from ringseam.web.client import ChannelPool
 
-#: A new connection that isn't made after this long won't be, seconds.
+#: Timeout for opening a connection, seconds.
 _CONNECT_S = 0.4
 _OK = 200
 _UNAVAILABLE = 503
 
 
 class FullError(ChannelError):
-    """A server refused a call: it works on others, and its queue is full."""
+    """A server refused a call because its queue is full."""
 
 
 class PieceCalls:
-    """Call servers over kept connections."""
+    """Call stage servers over pooled connections."""
 
     def __init__(self, *, pool: ChannelPool, clock: Clock, words: ServerWords) -> None:
         """Use the connections of ``pool``; ``words`` hears all answers."""
@@ -47,9 +47,9 @@
     async def run(self, call: StageCall) -> list[PieceResult]:
         """Return the results of a call, in the order of its pieces.
 
-        :raises FullError: when the server refused the call.
-        :raises ChannelError: when there are none.
-        :raises msgspec.MsgspecError: when they can't be read.
+        :raises FullError: when the server's queue is full.
+        :raises ChannelError: when the call failed.
+        :raises msgspec.MsgspecError: when the response can't be decoded.
         """
         now = self.clock.now()
         orders = [
@@ -68,9 +68,9 @@
         return decode_results(body, len(orders))
 
     async def release(self, address: str, instance: BackendId, handles: list[str]) -> None:
-        """Give results up at their maker.
+        """Tell a server to release results that it stores.
 
-        :raises ChannelError: when it can't be told.
+        :raises ChannelError: when the call failed.
         """
         await self._post(address, instance, FREE_PATH, encode_release(handles))
 
--- a/ringseam/gateway/stages/client.py
+++ b/ringseam/gateway/stages/client.py
@@ -1,8 +1,8 @@
-"""Pieces of stages: one gateway forms the batches of a service for all.
+"""Route pieces to the gateway that owns their service.
 
-The owner of a service is chosen by rendezvous hashing over the gateways that
-control names; the others send it their pieces. Where it can't be reached, a
-gateway forms its own batches.
+One gateway, the owner, forms the batches of a service for all gateways. It is chosen by
+rendezvous hashing over the gateways that the control plane lists; the others send it
+their pieces. A gateway that can't reach the owner forms its own batches.
 """
 
 from __future__ import annotations
@@ -45,33 +45,33 @@
 
 logger = logging.getLogger(__name__)
 
-#: What an owner said of its waiting pieces is believed this long, seconds: a
-#: call of a stage server takes 0.2 s and more.
+#: Waits reported by an owner are used for this long, seconds: a call to a stage server
+#: takes 0.2 s and more.
 _WAITS_TTL_S = 0.5
-#: An owner whose word is older than this is asked anew before a request is
-#: taken in, seconds. Under load its answers come late, when they matter most.
+#: An owner is asked again before a request is admitted if its report is older than this,
+#: seconds. Under load, when the report matters most, its replies are delayed.
 _WAITS_REFRESH_S = 0.15
-#: An owner is milliseconds away; its answer is not waited for longer, seconds.
+#: Timeout for asking an owner for its waits, seconds; a round trip takes milliseconds.
 _WAITS_TIMEOUT_S = 0.05
 _RELEASE_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReportedWaits:
-    """How long new pieces wait at a service's owner, and when it said so."""
+    """How long new pieces wait at a service's owner, and when it reported so."""
 
     at: float
     waits: Waits
 
     def wait_s(self, precedence: Precedence) -> float:
-        """Return how long a new piece waits, seconds."""
+        """Return the reported wait of a new piece, seconds."""
         by_rank = self.waits.again_ms if precedence.returned else self.waits.first_ms
         known = [wait_ms for rank, wait_ms in by_rank.items() if rank <= precedence.rank]
         return max(known, default=0) / MS_PER_S
 
 
 class PieceClient:
-    """Have pieces made where batches of their service are formed."""
+    """Run pieces at the gateway that forms the batches of their service."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         scheduler: PieceScheduler,
         ownership: Ownership,
     ) -> None:
-        """Use ``works`` for the services that this gateway owns."""
+        """Use ``scheduler`` for the services that this gateway owns."""
         self.clock = clock
         self.client = client
         self.scheduler = scheduler
@@ -90,7 +90,7 @@
         self.reported_waits: dict[ServiceName, ReportedWaits] = {}
 
     async def run(self, job: PieceJob) -> list[PieceResult]:
-        """Return a result for each piece of a job."""
+        """Run a job and return a result for each of its pieces."""
         asked: set[str] = set()
         owner = self.ownership.owner_of(job.service)
         while owner and owner not in asked:
@@ -100,12 +100,12 @@
                 return reply
             owner = self.ownership.owner_of(job.service)
         if job.deadline <= self.clock.now():
-            # The owner has used all the time; nothing can be made here either.
+            # The deadline passed while the owner was tried; there is no time to run it here.
             return [PieceResult(fault=PieceFault.late) for _ in job.pieces]
         return await self.scheduler.run(job)
 
     def release(self, service: ServiceName, handles: tuple[str, ...]) -> None:
-        """Give results up, without waiting."""
+        """Release results in the background."""
         owner = self.ownership.owner_of(service)
         if owner:
             self.tasks.spawn(self._send_release(owner, service, handles))
@@ -113,21 +113,21 @@
             self.scheduler.release(service, handles)
 
     def wait_s(self, service: ServiceName, precedence: Precedence) -> float:
-        """Return how long a new piece would wait, as far as is known, seconds."""
+        """Return the estimated wait of a new piece, seconds; 0 if it is unknown."""
         if not self.ownership.owner_of(service):
             return self.scheduler.wait_s(service, precedence)
         reported = self._current_report(service)
         return reported.wait_s(precedence) if reported else 0
 
     def backlog_s(self, service: ServiceName) -> float:
-        """Return how long all that waits takes to leave, as far as is known, seconds."""
+        """Return the estimated time to clear the queue, seconds; 0 if it is unknown."""
         if not self.ownership.owner_of(service):
             return self.scheduler.backlog_s(service)
         reported = self._current_report(service)
         return reported.waits.backlog_ms / MS_PER_S if reported else 0
 
     async def refresh_waits(self, services: Collection[ServiceName]) -> None:
-        """Ask owners whose word on some services is old."""
+        """Ask the owners of services for their waits where the last report is old."""
         oldest = self.clock.now() - _WAITS_REFRESH_S
         asked: dict[str, list[ServiceName]] = {}
         for service in sorted(services):
@@ -142,14 +142,14 @@
     # -- calls of other gateways --------------------------------------------
 
     async def serve_waits(self, received: Received) -> WaitsReply:
-        """Tell another gateway how long new pieces would wait here."""
+        """Report to another gateway how long new pieces would wait here."""
         request: WaitsRequest = received.body
         return WaitsReply(
             waits={service: self.scheduler.waits(service) for service in request.services},
         )
 
     async def serve_pieces(self, received: Received) -> PieceReply:
-        """Make pieces for another gateway."""
+        """Run pieces for another gateway."""
         request: PieceRequest = received.body
         outcome = await self.scheduler.run(_job_of(request, self.clock.now()))
         faults = [piece.fault for piece in outcome if piece.fault is not None]
@@ -160,7 +160,7 @@
         )
 
     async def serve_release(self, received: Received) -> Empty:
-        """Give up results for another gateway."""
+        """Release results for another gateway."""
         request: ReleaseRequest = received.body
         self.scheduler.release(request.service, request.handles)
         return Empty()
@@ -168,14 +168,14 @@
     # -- helpers ------------------------------------------------------------
 
     def _current_report(self, service: ServiceName) -> ReportedWaits | None:
-        """Return what an owner said of its waits, while it is to be believed."""
+        """Return the last waits that an owner reported, unless they are outdated."""
         reported = self.reported_waits.get(service)
         if reported is None or self.clock.now() - reported.at > _WAITS_TTL_S:
             return None
         return reported
 
     async def _run_at_owner(self, owner: str, job: PieceJob) -> list[PieceResult] | None:
-        """Return the owner's results; None when it can't be reached."""
+        """Run a job at the owner and return the results; None if it can't be reached."""
         now = self.clock.now()
         timeout_s = max(0, job.deadline - now)
         request = _request_of(job, now)
@@ -186,7 +186,7 @@
                 return None
             reply: PieceReply = call.result().body
         except UnreachableError as error:
-            logger.debug('owner of %s: %s', job.service, error)
+            logger.debug('pieces of %s not sent to owner: %s', job.service, error)
             return None
         finally:
             call.cancel()
@@ -198,7 +198,7 @@
         try:
             received = await self.client.call(owner, WAITS, request, timeout_s=_WAITS_TIMEOUT_S)
         except UnreachableError as error:
-            logger.debug('waits not told: %s', error)
+            logger.debug('waits not received: %s', error)
             return
         reply: WaitsReply = received.body
         for service, waits in reply.waits.items():
@@ -211,7 +211,7 @@
     ) -> None:
         """Wait until the call is over or its owner is gone.
 
-        An owner that is stopping finishes what it was asked for.
+        An owner that is shutting down still finishes the calls that it has accepted.
         """
         while not call.done() and self.ownership.is_present(owner):
             changed = asyncio.ensure_future(self.scheduler.changed.wait())
@@ -230,8 +230,8 @@
         try:
             await self.client.call(owner, RELEASE, request, timeout_s=_RELEASE_TIMEOUT_S)
         except UnreachableError as error:
-            # Results give themselves up after a while.
-            logger.debug('owner of %s: %s', service, error)
+            # The server discards results by itself when their retention time is over.
+            logger.debug('results of %s not released at owner: %s', service, error)
 
 
 def _request_of(job: PieceJob, now: float) -> PieceRequest:
--- a/ringseam/gateway/stages/graph.py
+++ b/ringseam/gateway/stages/graph.py
@@ -1,4 +1,4 @@
-"""The stages of one request, run as a graph with pieces and fan-in."""
+"""Run the stages of one request as a dependency graph."""
 
 from __future__ import annotations
 
@@ -21,40 +21,40 @@
     from ringseam.platform.stages import PieceResult
     from ringseam.routes import Route, RouteStage, RouteTable, ServiceName
 
-#: What an engine needs of the objective after the stages, seconds.
+#: Share of a request's objective reserved for the engine after the stages, seconds.
 _ENGINE_BUDGET_S = 0.4
-#: Results of fewer bytes than this may cross zones: where a gigabyte costs as much as
-#: 200 of the cheapest requests, this much costs a fiftieth of one.
+#: Results smaller than this may be transferred between availability zones: if a gigabyte
+#: costs as much as 200 of the cheapest requests, this much costs a fiftieth of one.
 _COSTLY_BYTES = 100_000
-#: Pieces that wait longer than this show that a service has no time or room to
-#: spare, seconds: half of a call of no pieces.
+#: A service whose backlog takes longer than this to clear is short of servers or of
+#: result capacity, seconds: half of the time of a call without pieces.
 _CONTENTION_WAIT_S = 0.1
-#: A stage graph is run this often, when results are lost on the way.
+#: A stage graph is run at most this many times if results are lost.
 _MAX_GRAPH_RUNS = 2
 
 
 @dataclass(frozen=True, kw_only=True)
 class StageFault:
-    """The stages have no whole result; nothing was sent to the last server."""
+    """The stages failed; nothing was sent to the final backend server."""
 
     fault: PieceFault
 
 
 @dataclass(kw_only=True)
 class StageRun:
-    """Results of one request's stages; owned until they are released."""
+    """One request's stages and their results, which must be released after use."""
 
     work: RequestContext
     pieces: PieceClient
     clock: Clock
     table: RouteTable
-    #: The availability zone that the last server will be in; empty: any.
+    #: The expected availability zone of the final backend server; empty: any.
     server_zone: str
     #: Availability zones by the addresses of backend servers.
     zone_by_address: dict[str, str]
     handles: dict[int, tuple[str, ...]] = field(default_factory=dict)
     completed: set[int] = field(default_factory=set)
-    #: When the results of each stage were there.
+    #: When each stage was completed.
     completed_at: dict[int, float] = field(default_factory=dict)
     plan: StagePlan = field(init=False)
 
@@ -73,9 +73,9 @@
 
     @property
     def has_all_inputs(self) -> bool:
-        """Return whether all results that the last server needs are still there.
+        """Return whether all inputs of the final backend server are still available.
 
-        A server runs a request with too few inputs, so each of them counts.
+        A server would run a request with missing inputs, so all of them are checked.
         """
         return all(
             len(self.handles.get(number, ())) == self.plan.piece_count(number)
@@ -83,7 +83,7 @@
         )
 
     async def run(self) -> StageFault | None:
-        """Make all results; None when they are there."""
+        """Run all stages; return None on success."""
         for _ in range(_MAX_GRAPH_RUNS):
             self.release()
             self.completed.clear()
@@ -96,7 +96,7 @@
         return StageFault(fault=fault)
 
     def predicted_s(self) -> float:
-        """Return how long the stages would take from now, with what waits there."""
+        """Estimate how long the stages take from now, with the current queues, seconds."""
         stages = self.stages
         ends: list[float] = []
         for number, stage in enumerate(stages):
@@ -116,13 +116,13 @@
         }
 
     def inputs(self) -> tuple[str, ...]:
-        """Return the handles of the stages that no other stage follows."""
+        """Return the result handles of the final stages."""
         return tuple(
             handle for number in self.plan.final_stages() for handle in self.handles.get(number, ())
         )
 
     def input_bytes(self) -> dict[str, int]:
-        """Return the bytes of :meth:`inputs` by availability zone."""
+        """Return the bytes of the stored results by availability zone."""
         found: collections.Counter[str] = collections.Counter()
         for number, handles in self.handles.items():
             size = self.stages[number].result_bytes
@@ -131,18 +131,18 @@
         return dict(found)
 
     def release(self) -> None:
-        """Give all results up."""
+        """Release all results."""
         for number in list(self.handles):
             self._release_stage(number)
 
     def release_contended(self) -> None:
-        """Give up the results of services where pieces wait: room may be short."""
+        """Release the results of services with a backlog, which may lack capacity."""
         for number in list(self.handles):
             if self.pieces.backlog_s(self.stages[number].service) > _CONTENTION_WAIT_S:
                 self._release_stage(number)
 
     def _is_in_time(self) -> bool:
-        """Return whether the stages could be run from the beginning."""
+        """Return whether there is time to run the stages from the beginning."""
         return self.clock.now() + self.predicted_s() + FIRST_EVENT_S < self.work.deadline
 
     async def _run_once(self) -> PieceFault | None:
@@ -169,7 +169,7 @@
             return None
         inputs = tuple(handle for used in stage.after for handle in self.handles.get(used, ()))
         if len(inputs) < sum(map(self.plan.piece_count, stage.after)):
-            # They were given up meanwhile: this run is being cancelled.
+            # The inputs were released meanwhile, because this run is being cancelled.
             return PieceFault.gone
         made = await self.pieces.run(self._job(number, stage, count, inputs))
         self.handles[number] = tuple(result.handle for result in made if result.handle)
@@ -181,7 +181,7 @@
         return fault
 
     def _release_consumed(self) -> None:
-        """Give up results that all following stages have used."""
+        """Release results whose consumer stages are all completed."""
         stages = self.stages
         for number in list(self.handles):
             consumers = {
@@ -226,10 +226,10 @@
         )
 
     def _preferred_zone(self, number: int, inputs: tuple[str, ...]) -> str:
-        """Return where a stage should work; empty where it makes no difference.
+        """Return the zone in which a stage should run; empty: any.
 
-        Near what it reads, if that is much; else near the last server, if that
-        reads much of it.
+        That is the zone of its inputs if these are large; else the zone of the final
+        backend server if that one reads a large result from it.
         """
         stage = self.stages[number]
         if sum(map(self.plan.total_bytes, stage.after)) >= _COSTLY_BYTES:
@@ -240,7 +240,7 @@
         )
 
     def _majority_zone(self, inputs: tuple[str, ...]) -> str:
-        """Return where most inputs are."""
+        """Return the zone of most inputs."""
         found = collections.Counter(
             self.zone_by_address.get(maker_of(handle), '') for handle in inputs
         )
@@ -248,31 +248,31 @@
         return found.most_common(1)[0][0] if found else ''
 
     def _expiry_of_inputs(self, stage: RouteStage) -> float:
-        """Return when inputs that are dear to make again are given up."""
+        """Return when the inputs of a stage expire; infinite if they are cheap to redo."""
         if sum(map(self.plan.total_bytes, stage.after)) < _COSTLY_BYTES:
             return math.inf
         return min(map(self._expiry_of, stage.after))
 
     def _expiry_of(self, number: int) -> float:
-        """Return when the first result of a stage is given up by its maker."""
+        """Return when the first result of a stage is discarded by its server."""
         service = self.table.services.get(self.stages[number].service)
         if number not in self.completed_at or service is None or service.batching is None:
             return math.inf
-        # The first of its pieces may have been made a call before the last.
+        # The first piece may have finished one call before the last.
         return self.completed_at[number] + service.batching.keep_s - service.batching.call_s
 
 
 def has_stages(route: Route, pieces: tuple[int, ...]) -> bool:
-    """Return whether a request needs any stage."""
+    """Return whether a request has pieces at any stage."""
     return any(count for count, _ in zip(pieces, route.stages, strict=False))
 
 
 async def _first_fault_of(
     tasks: Iterable[asyncio.Task[PieceFault | None]],
 ) -> PieceFault | None:
-    """Return the first fault of some stages, or None once all are made.
+    """Return the first fault of some stages, or None once all have succeeded.
 
-    The stages that are left are cancelled: nobody has a use for them any more.
+    After a fault the remaining stages are cancelled, because their results are useless.
     """
     pending = set(tasks)
     while pending:
--- a/ringseam/gateway/stages/jobs.py
+++ b/ringseam/gateway/stages/jobs.py
@@ -1,4 +1,4 @@
-"""Pieces that wait or are worked on, and the calls in which they leave."""
+"""Jobs of a stage, their pieces, and the calls that send pieces to servers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PieceJob:
-    """Pieces of one stage of one request; times are absolute seconds."""
+    """The pieces of one stage of one request; times are absolute seconds."""
 
     attempt_id: str
     service: ServiceName
@@ -25,48 +25,48 @@
     pieces: tuple[int, ...]
     key: str
     inputs: tuple[str, ...]
-    #: When the whole request stops earning its full worth, less later work.
+    #: When this stage must finish for the request to meet its objective.
     due: float
     deadline: float
-    #: Who goes first, 0 before all; see :func:`ringseam.gateway.priorities.rank_of`.
+    #: Rank in the queue, 0 is first; see :func:`ringseam.gateway.priorities.rank_of`.
     rank: int
     result_bytes: int
-    #: Whether its client was turned away before.
+    #: Whether the client retries after an earlier refusal.
     returned: bool = False
-    #: When the first of its inputs is given up by its maker.
+    #: When the first of its inputs is discarded by the server that stores it.
     expires: float = float('inf')
-    #: Where its inputs are or its result is wanted.
+    #: Preferred availability zone: of its inputs or of the consumer of its results.
     zone: str = ''
-    #: Availability zones in which its request may run; None: all.
+    #: Availability zones in which the request may run; None: all.
     zones: frozenset[str] | None = None
-    #: The service that made the inputs, when nothing else needs them after this.
+    #: The service that produced the inputs, if this stage is their only consumer.
     inputs_of: str = ''
-    #: What its request asks for, and for whom.
+    #: Content and client account of the request, for quarantine checks.
     suspect: Suspect = field(default_factory=lambda: Suspect(content=ContentId('')))
-    #: When the only run of a suspected content was granted; None: not on trial.
+    #: When the single trial run of a suspected content was granted; None: no trial run.
     trial_at: float | None = None
 
     def may_run_in(self, zone: str) -> bool:
-        """Return whether its request may run in an availability zone."""
+        """Return whether the request may run in an availability zone."""
         return self.zones is None or zone in self.zones
 
     @functools.cached_property
     def precedence(self) -> Precedence:
-        """Return what the job goes by among those that wait."""
+        """Return the precedence of the job in the queue."""
         return Precedence(rank=self.rank, returned=self.returned)
 
 
 @dataclass(kw_only=True, eq=False)
 class PieceGroup:
-    """The pieces of one job; their results are of use together only."""
+    """State shared by the pieces of one job, whose results are usable only together."""
 
-    #: Whether a piece has left, so that a result takes up room until all have.
+    #: Whether a piece was sent; its result then occupies capacity until all have run.
     started: bool = False
 
 
 @dataclass(kw_only=True, eq=False)
 class Piece:
-    """One piece that waits or is worked on."""
+    """One piece that is queued or running."""
 
     job: PieceJob
     number: int
@@ -78,7 +78,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class StageCall:
-    """Pieces that leave together for one server."""
+    """A batch of pieces that is sent to one server."""
 
     server: BackendReport
     pieces: list[Piece]
--- a/ringseam/gateway/stages/messages.py
+++ b/ringseam/gateway/stages/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which gateways have pieces made by the owner of a service."""
+"""Messages between gateways and the owner of a service."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PieceRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Ask the owner of a service for pieces; durations in milliseconds."""
+    """Ask the owner of a service to run pieces; durations are in milliseconds."""
 
     attempt_id: str
     service: ServiceName
@@ -26,34 +26,33 @@
     rank: int
     result_bytes: int
     zone: str
-    #: Availability zones in which its request may run; None: all.
+    #: Availability zones in which the request may run; None: all.
     zones: Optional[tuple[str, ...]] = None
     returned: bool = False
-    #: Until the first input is given up, in milliseconds; negative: never.
+    #: Time until the first input expires; negative: never.
     expires_ms: int = -1
     inputs_of: str = ''
     content: ContentId = ContentId('')
     account: str = ''
-    #: How long ago the only run of a suspected content was granted; negative: not on trial.
+    #: Time since the single trial run of a suspected content was granted; negative: no trial.
     trial_ms: int = -1
 
 
 class Waits(Message, frozen=True, kw_only=True, omit_defaults=True):
     """How long new pieces of a service would wait at its owner, in milliseconds.
 
-    By rank, those of clients that ask for the first time apart from those that
-    were turned away before. A rank that is not named waits as long as the one
-    before it.
+    Waits are given by rank: ``first_ms`` for first attempts of clients, ``again_ms`` for
+    clients that retry after a refusal. A missing rank waits as long as the rank before it.
     """
 
     first_ms: dict[int, int] = msgspec.field(default_factory=dict)
     again_ms: dict[int, int] = msgspec.field(default_factory=dict)
-    #: How long all that waits takes to leave.
+    #: Time to clear the queue.
     backlog_ms: int = 0
 
 
 class PieceReply(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Handles in the order of the pieces, or why there are none."""
+    """Result handles in the order of the pieces, or the fault if there are none."""
 
     handles: tuple[str, ...] = ()
     fault: str = ''
@@ -61,20 +60,20 @@
 
 
 class ReleaseRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Give results up."""
+    """Ask the owner of a service to release results."""
 
     service: ServiceName
     handles: tuple[str, ...]
 
 
 class WaitsRequest(Message, frozen=True, kw_only=True):
-    """Ask the owner of some services how long new pieces would wait."""
+    """Ask the owner of services how long new pieces would wait."""
 
     services: tuple[ServiceName, ...]
 
 
 class WaitsReply(Message, frozen=True, kw_only=True):
-    """Waits by service."""
+    """The waits of each service."""
 
     waits: dict[ServiceName, Waits]
 
--- a/ringseam/gateway/stages/order.py
+++ b/ringseam/gateway/stages/order.py
@@ -1,4 +1,4 @@
-"""In which order pieces leave, and which may leave their zone; plain functions."""
+"""Order in which pieces are sent, and rules on leaving their preferred zone."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     from ringseam.gateway.stages.jobs import Piece, PieceGroup
     from ringseam.routes import BatchSpec
 
-#: A piece whose inputs are given up within this time goes first, seconds: a call
-#: under way and one of its own.
+#: A piece whose inputs expire within this time is sent first, seconds: the time of a call in
+#: progress and of the piece's own call.
 _EXPIRY_MARGIN_S = 1.2
-#: A piece goes to another zone when fewer whole calls than this fit before it is
-#: due: its own.
+#: A piece may go to another zone when fewer full calls than this fit in before it is due:
+#: just its own call.
 _MIN_SPARE_CALLS = 1.0
 
 
 class DispatchClass(enum.IntEnum):
-    """In which turn a piece goes, whatever its rank."""
+    """Dispatch class of a piece; it takes precedence over the rank."""
 
-    #: It is begun, or about to lose its inputs.
+    #: Its job has started, or its inputs are about to expire.
     first = 0
     in_time = 1
     late_and_expiring = 2
@@ -39,9 +39,10 @@
     servers: Collection[BackendReport],
     spec: BatchSpec,
 ) -> set[Piece]:
-    """Return the pieces that the next calls of their zones' servers don't reach.
+    """Return the pieces that don't fit into the next calls of their own zone's servers.
 
-    They fill calls of other zones: a call takes its time whatever its size.
+    They may fill up calls in other zones, since most of a call's time is independent of
+    its size.
     """
     servers_by_zone = collections.Counter(server.zone for server in servers)
     remaining = {zone: count * spec.slots * spec.batch for zone, count in servers_by_zone.items()}
@@ -58,10 +59,10 @@
 
 
 def may_leave_zone(piece: Piece, spec: BatchSpec, now: float) -> bool:
-    """Return whether a piece may leave its zone, whose server is busy.
+    """Return whether a piece may leave its zone, whose servers are busy.
 
-    Results that cross zones are dear, so a piece waits for its own zone while
-    it has the time for some more calls there; the dearest requests don't wait.
+    Transferring results between zones is costly, so a piece waits for its own zone while
+    time remains for more calls there. Requests of the highest priority don't wait.
     """
     job = piece.job
     if piece.failed_servers or route_priority(job.rank) == 0:
@@ -71,16 +72,16 @@
 
 
 def dispatch_order(waiting: Collection[Piece], now: float) -> list[Piece]:
-    """Return pieces in the order in which they leave.
+    """Return pieces in the order in which they are sent.
 
-    What is begun goes first, then what can be on time, by worth. A job that is begun
-    holds room for its results until its last piece is made; begun jobs that wait for
-    others would fill the room of all servers. A job whose inputs are soon given up
-    would have all its stages run again; one that is late anyway is not worth making
-    another one late.
+    Started jobs come first, then jobs that can be on time, by precedence. A started job
+    occupies result capacity until its last piece has run; started jobs that wait behind
+    others would fill up the capacity of all servers. A job whose inputs are about to expire
+    would have to run all its stages again; a job that is late anyway must not delay
+    another one.
 
-    The pieces of a job go together, so jobs are put in order and not their pieces: a
-    third of the time at six pieces a job.
+    The pieces of a job stay together, so jobs are sorted instead of pieces, which takes a
+    third of the time at six pieces per job.
     """
     groups: dict[PieceGroup, list[Piece]] = {}
     for one in waiting:
@@ -99,7 +100,7 @@
 
 
 def dispatch_class_of(piece: Piece, now: float) -> DispatchClass:
-    """Return in which turn a piece goes, whatever its rank."""
+    """Return the dispatch class of a piece, whatever its rank."""
     job = piece.job
     late = job.due < now
     expiring = job.expires - now < _EXPIRY_MARGIN_S
--- a/ringseam/gateway/stages/scheduler.py
+++ b/ringseam/gateway/stages/scheduler.py
@@ -1,4 +1,4 @@
-"""Batches of pieces that are formed at this gateway, and their results."""
+"""Schedule the pieces of services whose batches are formed at this gateway."""
 
 from __future__ import annotations
 
@@ -49,31 +49,31 @@
 
 logger = logging.getLogger(__name__)
 
-#: A piece is given up after this many servers.
+#: A piece fails after this many attempts.
 _MAX_PIECE_TRIES = 3
-#: A call is given up after this many times the expected length and a while.
+#: A call times out after this many times its expected duration plus a margin.
 _CALL_TIMEOUT_FACTOR = 4.0
 _CALL_TIMEOUT_MARGIN_S = 0.6
-#: A server has fetched the inputs of a call this long after it was sent,
-#: seconds: megabytes take milliseconds at the links' speed.
+#: A server has fetched the inputs of a call this long after the call was sent, seconds:
+#: megabytes take milliseconds at the speed of the network.
 INPUT_FETCH_S = 0.06
-#: Results that are given up within this time are named to their maker together,
-#: seconds; their room is missed while they wait.
+#: Results released within this time are sent to their server in one call, seconds. A longer
+#: time would keep their capacity in use.
 _RELEASE_BATCH_S = 0.01
 _RELEASE_TIMEOUT_S = 1.0
-#: The same at a server that names a limit, seconds: each is a request that it takes.
+#: The same for a rate-limited server, seconds: each such call counts as a request.
 _RELEASE_BATCH_LIMITED_S = 2.0
-#: Timers may fire this early, seconds.
+#: Timers may fire this much too early, seconds.
 _TIMER_MARGIN_S = 0.001
-#: What waits is counted anew after this, seconds: well within a call.
+#: A wait estimate is reused for this long, seconds: much shorter than a call.
 _ESTIMATE_TTL_S = 0.02
-#: Pieces that can't be in time are looked for this often, seconds: not with each decision,
-#: as all that waits is looked at.
+#: Interval of the search for pieces to shed, seconds. It isn't done on each dispatch
+#: because it scans the whole queue.
 _SHED_INTERVAL_S = 0.05
 
 
 class PieceScheduler:  # noqa: WPS214 - the driver of all batches
-    """Form batches here, for this gateway and for others."""
+    """Form batches for this gateway and for others, and send them to stage servers."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         ownership: Ownership,
         pace: Pace,
     ) -> None:
-        """Work with the servers that ``follower`` knows."""
+        """Use the servers that ``follower`` knows."""
         self.node = node
         self.follower = follower
         self.calls = calls
@@ -100,11 +100,11 @@
         self.tasks = TaskSet()
         #: Set, and replaced, whenever servers, routes or gateways change.
         self.changed = asyncio.Event()
-        #: Gives up inputs; the facade over all gateways knows their owners.
+        #: Releases inputs; replaced by a function that reaches the owner of their service.
         self.release_inputs: Callable[[ServiceName, tuple[str, ...]], None] = self.release
 
     async def run(self, job: PieceJob) -> list[PieceResult]:
-        """Return a result for each piece of a job."""
+        """Run a job and return a result for each of its pieces."""
         if job.deadline <= self.node.clock.now():
             return [PieceResult(fault=PieceFault.late) for _ in job.pieces]
         state = self._state(job.service)
@@ -129,7 +129,7 @@
         return job_results.ordered()
 
     def release(self, service: ServiceName, handles: tuple[str, ...]) -> None:
-        """Tell makers, soon, that results are given up."""
+        """Release results at the servers that store them, in batches."""
         state = self._state(service)
         for handle in handles:
             maker = maker_of(handle)
@@ -139,7 +139,7 @@
             state.pending_releases[maker].append(handle)
 
     def refresh(self) -> None:
-        """Look again: servers, routes or gateways have changed."""
+        """Dispatch again after servers, routes or gateways have changed."""
         for service, state in self.services.items():
             state.batcher.keep_only({server.instance for server in self._servers(service)})
             self._dispatch(service)
@@ -147,11 +147,11 @@
         self.changed = asyncio.Event()
 
     def wait_s(self, service: ServiceName, precedence: Precedence) -> float:
-        """Return how long a new piece would wait here, seconds."""
+        """Estimate how long a new piece would wait here, seconds."""
         return self._estimate(service).wait_s(precedence)
 
     def waits(self, service: ServiceName) -> Waits:
-        """Return how long new pieces would wait, and how long all that waits takes."""
+        """Return the estimated waits of new pieces and the time to clear the queue."""
         estimate = self._estimate(service)
         first = {known.rank for known in estimate.counts_by_precedence if not known.returned} | {0}
         again = {known.rank for known in estimate.counts_by_precedence if known.returned} | {0}
@@ -167,18 +167,18 @@
         )
 
     def backlog_s(self, service: ServiceName) -> float:
-        """Return how long all that waits here takes to leave, seconds."""
+        """Return the estimated time to clear the queue here, seconds."""
         return self._estimate(service).backlog_s
 
     @property
     def in_flight(self) -> int:
-        """Return how many pieces are waited for here."""
+        """Return the number of pieces that are queued or running."""
         return sum(len(state.waiters) for state in self.services.values())
 
     # -- calls --------------------------------------------------------------
 
     def _dispatch(self, service: ServiceName) -> None:
-        """Send all calls that can leave now."""
+        """Send all calls that can be sent now."""
         spec = self._spec(service)
         if spec is None:
             return
@@ -197,7 +197,7 @@
                 state.resolve(piece, PieceResult(fault=PieceFault.late))
 
     def _schedule_next_turn(self, state: ServiceState, now: float) -> None:
-        """Look again when a server has a turn, or its pause ends, if pieces wait for it."""
+        """Schedule a dispatch for when a rate limit or pause of a server ends."""
         if not state.batcher.waiting or state.next_turn_at > now:
             return
         service = state.batcher.service
@@ -209,9 +209,9 @@
             loop.call_later(min(waits) + _TIMER_MARGIN_S, self._dispatch, service)
 
     def _remove_quarantined(self, state: ServiceState, call: StageCall) -> bool:
-        """Take out pieces whose content ends servers; False when none are left.
+        """Remove pieces of quarantined contents; return False if none are left.
 
-        A verdict may have fallen while they waited.
+        A content may have been quarantined while its pieces were queued.
         """
         quarantined = [
             piece
@@ -230,7 +230,7 @@
         self.log.sent(state.batcher, call)
         loop = asyncio.get_running_loop()
         fetched = loop.call_later(INPUT_FETCH_S, self._release_fetched_inputs, state, call, spec)
-        # The last of the pieces' deadlines bounds the call.
+        # A call never lasts beyond the latest deadline of its pieces.
         longest_s = max(piece.job.deadline for piece in call.pieces) - started
         timeout_s = min(call.expected_s * _CALL_TIMEOUT_FACTOR + _CALL_TIMEOUT_MARGIN_S, longest_s)
         outcome = await self._attempt(call, max(0, timeout_s))
@@ -238,7 +238,7 @@
         state.batcher.call_ended(call)
         now = self.node.clock.now()
         if isinstance(outcome, CallFailure):
-            # A call that ended with its pieces' time says nothing of its server.
+            # A call that was cut off by its pieces' deadlines is no sign of a faulty server.
             if now < started + longest_s:
                 self._record_failure(state, call, outcome.kind)
             self._handle_failure(state, call, outcome.detail)
@@ -250,7 +250,7 @@
         self._dispatch(state.batcher.service)
 
     async def _attempt(self, call: StageCall, limit_s: float) -> list[PieceResult] | CallFailure:
-        """Return what a call made, or how it failed."""
+        """Send a call and return its results or why it failed."""
         for piece in call.pieces:
             self.guard.ends.sent(call.server, _piece_id(piece), piece.job.suspect)
         try:
@@ -272,15 +272,15 @@
                 self.guard.ends.over(call.server, _piece_id(piece))
 
     def _record_failure(self, state: ServiceState, call: StageCall, kind: CallFailureKind) -> None:
-        """Count a failed call against its server.
+        """Record a failed call in the health of its server.
 
-        One that can't be connected to is left at once. One call that broke or
-        took too long is not enough: links that lose packets delay calls to
-        sound servers too, and the others can't carry the load without them.
+        A server that refuses connections is ejected at once. One call that broke or timed
+        out is not enough: packet loss delays calls to healthy servers too, and the other
+        servers can't carry the load without them.
         """
         now = self.node.clock.now()
         if kind is CallFailureKind.full:
-            # It works for another gateway, be it for one that is just gone.
+            # It is busy with calls of another gateway, perhaps of one that has just gone.
             state.batcher.full_until[call.server.instance] = now + FULL_BACKOFF_S
         elif kind is CallFailureKind.unanswered:
             self.health.fell_silent(call.server.instance, now)
@@ -291,12 +291,12 @@
     def _release_fetched_inputs(
         self, state: ServiceState, call: StageCall, spec: BatchSpec
     ) -> None:
-        """Give up inputs once all pieces that need them have fetched them.
+        """Release inputs once all pieces that need them have fetched them.
 
-        A call's inputs are fetched when its turn comes, and calls are sent to
-        idle servers only. But while gateways come and go, two of them call the
-        same servers, and a server that is nearly full may refuse the last pieces;
-        the inputs of those are kept until the call has been answered.
+        A server fetches a call's inputs when the call starts, and calls are sent to idle
+        servers only. But while gateways join or leave, two of them may call the same
+        servers, and a server that is nearly full may refuse the last pieces; the inputs
+        of these are kept until the response has arrived.
         """
         if not self.ownership.is_settled(state.batcher.service, self.node.clock.now()):
             return
@@ -344,9 +344,9 @@
         loop.call_later(FULL_BACKOFF_S, self._dispatch, state.batcher.service)
 
     def _retry(self, state: ServiceState, pieces: list[Piece], call: StageCall) -> None:
-        """Have pieces made once more, if the budget allows.
+        """Retry pieces, if the retry budget allows it.
 
-        A request draws on the budget once, whatever the number of its pieces.
+        A request uses the budget once, whatever the number of its pieces.
         """
         allowed: dict[str, bool] = {}
         for piece in pieces:
@@ -377,24 +377,24 @@
 
     def _resolve(self, state: ServiceState, piece: Piece, result: PieceResult) -> None:
         if not state.resolve(piece, result) and result.handle:
-            # Nobody waits any more: let its maker have the room back.
+            # The job is no longer awaited: free the capacity at the server.
             self.release(state.batcher.service, (result.handle,))
 
     def _abandon(self, state: ServiceState, job_results: JobResults) -> None:
-        """Give up what was made for a job that nobody waits for any more."""
+        """Release the results of a job that is no longer awaited."""
         job_results.completed.cancel()
         handles = tuple(result.handle for result in job_results.by_piece.values() if result.handle)
         self.release(state.batcher.service, handles)
 
     async def _release_batched(self, state: ServiceState, maker: str) -> None:
-        """Give results up together; their room counts as free once that is done."""
+        """Release results in one call; their capacity counts as free after it."""
         await asyncio.sleep(self._release_wait_s(state, maker))
         handles = state.pending_releases.pop(maker, [])
         try:
             async with asyncio.timeout(_RELEASE_TIMEOUT_S):
                 await self.calls.release(maker, state.server_of(handles), handles)
         except (ChannelError, asyncio.TimeoutError) as error:
-            # The maker gives results up by itself after a while.
+            # The server discards results by itself when their retention time is over.
             logger.debug('results not released: %s', error)
             return
         for handle in handles:
@@ -402,9 +402,9 @@
         self._dispatch(state.batcher.service)
 
     def _release_wait_s(self, state: ServiceState, maker: str) -> float:
-        """Return how long results are gathered, seconds.
+        """Return how long to collect results before a release call, seconds.
 
-        Longer for a server that names a limit, and until the end of a pause.
+        It is longer for a rate-limited server, and lasts at least until a pause ends.
         """
         instance = state.server_of(state.pending_releases[maker])
         now = self.node.clock.now()
@@ -420,7 +420,7 @@
     # -- helpers ------------------------------------------------------------
 
     def _estimate(self, service: ServiceName) -> WaitEstimate:
-        """Return how long new pieces would wait here, counted a moment ago at most."""
+        """Return the wait estimate for new pieces, from a short-lived cache."""
         state = self._state(service)
         now = self.node.clock.now()
         spec = self._spec(service)
@@ -444,5 +444,5 @@
 
 
 def _piece_id(piece: Piece) -> str:
-    """Return what tells a piece from others that are under way."""
+    """Return the identifier of a piece among those in flight."""
     return f'{piece.job.attempt_id}/{piece.job.stage}/{piece.number}'
--- a/ringseam/gateway/stages/servicestate.py
+++ b/ringseam/gateway/stages/servicestate.py
@@ -1,4 +1,4 @@
-"""One service's pieces at the gateway that forms its batches: waiters and rooms."""
+"""State of one service at the gateway that forms its batches."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class CallFailureKind(enum.Enum):
-    """How a call without results ended."""
+    """Why a call returned no results."""
 
     full = 'full'
     unsent = 'unsent'
@@ -27,23 +27,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallFailure:
-    """A call that made nothing."""
+    """A call that returned no results."""
 
     kind: CallFailureKind
     detail: str
 
 
 class JobResults:
-    """Who waits for all pieces of a job, and what has been made of them."""
+    """The results of a job's pieces, and a future for their completion."""
 
     def __init__(self, *, pieces: list[Piece]) -> None:
-        """Wait for ``pieces`` in the running loop."""
+        """Expect results of ``pieces`` in the running event loop."""
         self.pieces = pieces
         self.by_piece: dict[Piece, PieceResult] = {}
         self.completed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def add(self, piece: Piece, result: PieceResult) -> bool:
-        """Take in what was made; False when that is known or nobody waits."""
+        """Add a result; return False if it is known already or no longer awaited."""
         if piece in self.by_piece or self.completed.done():
             return False
         self.by_piece[piece] = result
@@ -52,48 +52,48 @@
         return True
 
     def ordered(self) -> list[PieceResult]:
-        """Return what was made; pieces that weren't are late."""
+        """Return the results in the order of the pieces; missing ones count as late."""
         late = PieceResult(fault=PieceFault.late)
         return [self.by_piece.get(piece, late) for piece in self.pieces]
 
 
 @dataclass(kw_only=True)
 class ServiceState:
-    """One service's batches here, and who waits for each piece."""
+    """The batches of one service and the jobs that await its pieces."""
 
     batcher: Batcher
     waiters: dict[Piece, JobResults] = field(default_factory=dict)
-    #: Handles that their makers have not yet been told of.
+    #: Handles to release at the next call to each server, by its address.
     pending_releases: dict[str, list[str]] = field(default_factory=dict)
-    #: When servers that name a limit were last told, or will be.
+    #: When the last release call to each rate-limited server was or will be sent.
     released_at: dict[BackendId, float] = field(default_factory=dict)
-    #: When pieces are next looked at because a server has a turn.
+    #: When the next dispatch is scheduled because a server has a send permit.
     next_turn_at: float = float('-inf')
-    #: How long new pieces would wait, and until when that is told as it is.
+    #: How long new pieces would wait, and until when this estimate is reused.
     estimate: WaitEstimate = field(default_factory=WaitEstimate)
     estimate_until: float = float('-inf')
-    #: When pieces are next looked through for those that can't be in time.
+    #: When the queue is next searched for pieces to shed.
     next_shed_at: float = float('-inf')
-    #: Results that take up room: the server and the bytes of each.
+    #: Results stored at servers: the server and the size in bytes of each handle.
     stored: dict[str, tuple[BackendId, int]] = field(default_factory=dict)
 
     def add_result(self, handle: str, instance: BackendId, amount: int) -> None:
-        """Count a result's room."""
+        """Record a stored result and reserve its capacity."""
         self.stored[handle] = (instance, amount)
         self.batcher.capacity.reserve(instance, amount)
 
     def server_of(self, handles: list[str]) -> BackendId:
-        """Return the server that made results, all of them the same; empty: not known."""
+        """Return the server that stores all of these results; empty: unknown."""
         instances = (self.stored[handle][0] for handle in handles if handle in self.stored)
         return next(instances, BackendId(''))
 
     def remove_result(self, handle: str) -> None:
-        """Count a result's room no more."""
+        """Drop a stored result and free its capacity."""
         instance, amount = self.stored.pop(handle, (BackendId(''), 0))
         if instance:
             self.batcher.capacity.release(instance, amount)
 
     def resolve(self, piece: Piece, result: PieceResult) -> bool:
-        """Give a result to who waits for it; False when nobody does."""
+        """Deliver a result to the job that awaits it; return False if there is none."""
         waiter = self.waiters.get(piece)
         return waiter is not None and waiter.add(piece, result)
--- a/ringseam/gateway/stages/throughput.py
+++ b/ringseam/gateway/stages/throughput.py
@@ -1,4 +1,4 @@
-"""How fast pieces come to a service and leave it, as observed; plain classes."""
+"""Arrival rate and throughput of the pieces of one service, as observed, without I/O."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
     from ringseam.gateway.stages.jobs import StageCall
     from ringseam.routes import BatchSpec
 
-#: What came longer ago than this counts for a third, seconds: several calls, so
-#: that one clump of requests isn't taken for what will go on.
+#: Time constant of the exponential decay of arrivals, seconds. It spans several calls, so
+#: that a single burst isn't taken for the arrival rate.
 _DECAY_S = 5.0
-#: Weight of the newest call in the mean of how fast pieces leave.
+#: Weight of the newest call in the moving average of the time per piece.
 _PACE_WEIGHT = 0.1
-#: A call that took this many times its expected length says nothing of the pace:
-#: its answer was lost, or its server is ejected.
+#: A call that took more than this many times its expected time is no sample of the
+#: throughput: its response was lost, or its server is ejected.
 _OUTLIER_FACTOR = 4.0
 
 
 @dataclass(kw_only=True)
 class DecayingCounter:
-    """An amount that came lately, fading."""
+    """A sum of recent amounts that decays exponentially."""
 
     amount: float = 0
     at: float = 0
 
     def add(self, amount: float, now: float) -> None:
-        """Take in what has come."""
+        """Add an amount."""
         self.amount = self._decayed(now) + amount
         self.at = now
 
     def per_s(self, now: float) -> float:
-        """Return how much came in a second."""
+        """Return the recent rate per second."""
         return self._decayed(now) / _DECAY_S
 
     def _decayed(self, now: float) -> float:
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LastCall:
-    """The call that a server got last; ``crowded``: others waited meanwhile."""
+    """The last call sent to a server; ``has_backlog``: pieces stayed in the queue."""
 
     started_at: float
     expected_end: float
@@ -55,23 +55,23 @@
 
 @dataclass(kw_only=True)
 class Throughput:
-    """Calls in progress, and the pace of one service's servers.
+    """Calls in progress, and the throughput of one service's servers.
 
-    The pace is measured from one call's begin to the next one's while pieces
-    wait, so it counts what calls are not filled with, and the time for which a
-    server waits for room.
+    The throughput is measured from the start of one call to the start of the next while
+    pieces are queued, so it accounts for batches that are not full and for the time that
+    a server waits for free capacity.
     """
 
-    #: Pieces of clients that ask for the first time.
+    #: Arrivals of pieces of first attempts; clients that retry after a refusal not counted.
     arrivals: DecayingCounter = field(default_factory=DecayingCounter)
-    #: Calls in progress by server.
+    #: Number of calls in progress by server.
     calls: dict[BackendId, int] = field(default_factory=dict)
     last_calls: dict[BackendId, LastCall] = field(default_factory=dict)
-    #: How long a server takes for a piece while others wait; 0: not observed.
+    #: Observed time of a server per piece while pieces are queued; 0: not observed yet.
     observed_piece_s: float = 0
 
     def call_started(self, call: StageCall, now: float, *, has_backlog: bool) -> None:
-        """Hear that a call leaves; ``crowded``: pieces are left waiting."""
+        """Record that a call is sent; ``has_backlog``: pieces stay in the queue."""
         instance = call.server.instance
         last = self.last_calls.get(instance)
         if last is not None and last.has_backlog:
@@ -85,15 +85,15 @@
         self.calls[instance] = self.calls.get(instance, 0) + 1
 
     def call_ended(self, instance: BackendId) -> None:
-        """Hear that a call is over."""
+        """Record that a call is over."""
         self.calls[instance] = max(0, self.calls.get(instance, 0) - 1)
 
     def is_busy(self, instance: BackendId, spec: BatchSpec) -> bool:
-        """Return whether a server has all the calls that it works on at once."""
+        """Return whether all slots of a server are in use."""
         return self.calls.get(instance, 0) >= spec.slots
 
     def pieces_per_s(self, healthy: float, spec: BatchSpec) -> float:
-        """Return how many pieces ``sound`` servers take in a second."""
+        """Return how many pieces ``healthy`` servers process per second."""
         piece_s = self.observed_piece_s or spec.whole_call_s / spec.batch
         return (healthy or 1) * spec.slots / piece_s
 
@@ -103,7 +103,7 @@
         spec: BatchSpec,
         now: float,
     ) -> float:
-        """Return when the next server should be free, seconds from now."""
+        """Return in how many seconds the next server should be free."""
         free_at = [
             self.last_calls[server.instance].expected_end
             if self.is_busy(server.instance, spec)
@@ -113,7 +113,7 @@
         return max(0, min(free_at) - now)
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget servers that are gone and owe no answer."""
+        """Drop servers that are gone and have no call in progress."""
         for instance in set(self.calls) - instances:
             if not self.calls[instance]:
                 self.calls.pop(instance)
--- a/ringseam/gateway/stages/waitestimate.py
+++ b/ringseam/gateway/stages/waitestimate.py
@@ -1,4 +1,4 @@
-"""How long new pieces of a service would wait, seen at one moment; a plain class."""
+"""Estimate of how long new pieces of a service would wait."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 if TYPE_CHECKING:
     from ringseam.gateway.priorities import Precedence
 
-#: Clients that came back are left this share of a service at least, so that the
-#: time until their turn is long and not endless.
+#: Clients that retry after a refusal are assumed to get at least this share of the
+#: throughput, so that their estimated wait is long but finite.
 _LEAST_SHARE = 0.02
 
 
 @dataclass(frozen=True, kw_only=True)
 class WaitEstimate:
-    """What new pieces find before them, counted once for all precedences.
+    """State of the queue that new pieces would meet, counted once for all precedences.
 
-    The gateway that decides for a service tells it with each answer, so it must be cheap
-    while many wait.
+    The owner of a service computes it for each reply, so it must be cheap even while many
+    pieces are queued.
     """
 
-    #: When the next server is free, seconds from now.
+    #: Time until the next server is free, seconds.
     until_free_s: float = 0
-    #: Pieces that leave in a second; 0: there is no server.
+    #: Pieces processed per second; 0: there is no server.
     departures_per_s: float = 0
-    #: Pieces of clients that ask for the first time, that come in a second.
+    #: Arriving pieces of first attempts per second.
     arrivals_per_s: float = 0
-    #: Pieces that wait and have the time, by precedence.
+    #: Number of queued pieces that are not yet late, by precedence.
     counts_by_precedence: dict[Precedence, int] = field(default_factory=dict)
-    #: All pieces that wait.
+    #: Number of all queued pieces.
     waiting: int = 0
 
     def wait_s(self, precedence: Precedence) -> float:
         """Return how long a new piece of this precedence would wait, seconds.
 
-        What goes before it leaves at the observed pace. Pieces of clients that
-        came back go after all others, so what is expected to come meanwhile
-        counts for them as well: without it they wait for a turn that never comes.
+        The pieces ahead of it are processed at the observed rate. Pieces of clients that
+        retry after a refusal are served after all others, so their estimate also counts the
+        expected new arrivals; without these it would be far too short under overload.
         """
         if not self.departures_per_s:
             return 0
@@ -51,5 +51,5 @@
 
     @property
     def backlog_s(self) -> float:
-        """Return how long all that waits takes to leave, seconds."""
+        """Return how long it takes to clear the queue, seconds."""
         return self.waiting / self.departures_per_s if self.departures_per_s else 0
--- a/tests/test_gateway/test_engines/test_engines_placement.py
+++ b/tests/test_gateway/test_engines/test_engines_placement.py
@@ -16,7 +16,7 @@
 from ringseam.gateway.following.pacing import Pace
 from ringseam.routes import BackendService, EngineSpec, ServiceName
 
-#: The service whose engines requests are placed on.
+#: The service that requests are placed for.
 LLM = BackendService(
     name=ServiceName('llm'),
     health_path='/health',
@@ -99,7 +99,7 @@
     found = placer.place(
         place_request('r2', 9000, session='v', avoid=('e2', 'e3')), ENGINES, LLM, 0
     )
-    # r1 reads 6,500 tokens after r0, r2 as many after r1.
+    # r1 prefills 6,500 tokens after r0, r2 as many after r1.
     assert found.backlog_tokens == 9000 + 6500
     assert found.stalled_value == 1
 
@@ -108,9 +108,9 @@
     ('now', 'began', 'backlog'),
     [
         (0, False, 18_000),
-        # A tenth of a second of reading, as attention makes it slower.
+        # A tenth of a second of prefill, slowed down by attention.
         (0.1, False, 18_000 - 2492),
-        # An engine that says nothing has read no more than one prompt.
+        # An engine that has sent nothing is assumed to have prefilled at most one prompt.
         (9, False, 9000),
         (9, True, 9000),
     ],
@@ -168,7 +168,7 @@
 
 
 class ReferencePlacer(Placer):
-    """Looks for each engine's requests among all, and compares all engines' memories."""
+    """Reference implementation that scans all requests and all caches."""
 
     def _requests_on(self, instance):
         return [placed for placed in self.requests.values() if placed.instance == instance]
@@ -237,8 +237,8 @@
 
 
 def test_of_many_engines_a_few_are_compared(monkeypatch):
-    """Load: a fleet of hundreds of engines. Grounds: comparing all 390 takes 4.5 ms a
-    choice of a third of a core, and finds engines that cost no less."""
+    """Comparing all of 390 engines takes 4.5 ms per placement on a third of a core, and
+    finds no engine of a lower cost than a sample does."""
     placer = new_placer()
     compared = []
     whole = Placer._evaluate
--- a/tests/test_gateway/test_engines/test_engines_silence.py
+++ b/tests/test_gateway/test_engines/test_engines_silence.py
@@ -1,4 +1,4 @@
-"""Engines that have gone silent."""
+"""Detection of engines that have gone silent."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 @pytest.mark.parametrize(
     ('heard', 'now', 'silent'),
     [
-        # Nothing came yet: a long prompt may be read.
+        # No data yet: the prefill of a long prompt may be running.
         ([], FIRST_SILENCE_S - 0.01, False),
         ([], FIRST_SILENCE_S + 0.01, True),
-        # A head alone says nothing of the pace of events.
+        # A response head alone is no event.
         ([(0.1, False)], STREAMING_SILENCE_S + 0.2, False),
         ([(0.1, False)], FIRST_SILENCE_S + 0.2, True),
-        # Events came, and stopped.
+        # Events arrived, then stopped.
         ([(0.3, True)], 0.3 + STREAMING_SILENCE_S - 0.01, False),
         ([(0.3, True)], 0.3 + STREAMING_SILENCE_S + 0.01, True),
     ],
--- a/tests/test_gateway/test_stages/test_stages_batching.py
+++ b/tests/test_gateway/test_stages/test_stages_batching.py
@@ -1,4 +1,4 @@
-"""Batches of pieces: fullness, order, zones, room and waits."""
+"""Batching of pieces: full batches, order, zones, result capacity and waits."""
 
 from __future__ import annotations
 
@@ -70,8 +70,8 @@
 
 
 def test_call_is_filled_with_a_later_job_that_it_takes_whole():
-    """Load: jobs of several pieces, more of them than calls take. A job in two calls
-    is as late as the second, and holds room from the first."""
+    """A job that is split over two calls finishes with the second, but occupies capacity
+    from the first, so the rest of a call is filled with a job that fits as a whole."""
     batcher = new_batcher()
     batcher.add(job('first', pieces=3, due=1), 0)
     batcher.add(job('too large', pieces=2, due=2), 0)
@@ -108,8 +108,8 @@
 
 
 def test_job_whose_inputs_are_soon_lost_goes_first():
-    """Seen on the bench: cheaper requests waited in the middle of their stages
-    until their inputs were given up, and began anew."""
+    """Guards against requests of low priority that wait between stages until their
+    inputs expire, and then have to run all stages again."""
     batcher = new_batcher()
     batcher.add(job('dear', pieces=2, rank=0), 0)
     batcher.add(job('expiring', pieces=2, rank=2, expires=1.0), 0)
@@ -134,8 +134,8 @@
 
 
 def test_call_is_filled_with_what_other_zones_would_not_reach_next():
-    """Seen on the bench: calls left half full while pieces waited for servers of
-    their zones, and the queues of all services grew."""
+    """Guards against half-full calls while pieces wait for servers of their own zones,
+    which makes the queues of all services grow."""
     batcher = new_batcher()
     near, far = server('near', 'a'), server('far', 'b')
     batcher.throughput.calls[far.instance] = 1
@@ -168,8 +168,8 @@
 
 
 def test_silent_server_gets_one_piece_until_it_answers():
-    """Pattern silent: a zone is cut off for seconds, and every call there is lost for
-    several times its length. It is the least urgent piece that finds out."""
+    """While a zone is cut off, each call to it is lost for several times its duration,
+    so a server that stopped answering is probed with the least urgent piece only."""
     batcher = new_batcher()
     servers = [server('silent'), server('sound')]
     batcher.health.fell_silent(BackendId('silent'), 0)
@@ -250,8 +250,8 @@
 
 
 def test_room_taken_by_unknown_results_is_left_out_for_a_while():
-    """Seen on the bench: after its owner was lost, a service's servers were asked
-    every 60 ms for more than the room that was left."""
+    """Guards against calls every 60 ms that exceed the free capacity of servers, which
+    store results of a lost owner that the new one doesn't know."""
     batcher = new_batcher()
     batcher.add(job('r', pieces=2, size=300_000), 0)
     call = batcher.next_call([server('s')], SPEC, 0)
@@ -283,7 +283,7 @@
     batcher.next_call(servers, SPEC, 0)
     batcher.add(job('dear', pieces=8, rank=0), 0)
     batcher.add(job('cheap', pieces=8, rank=2), 0)
-    # The call under way takes 0.4 s more; then 4 pieces leave every 0.4 s.
+    # The call in progress takes 0.4 s more; then 4 pieces are sent every 0.4 s.
     assert batcher.wait_estimate(servers, SPEC, 0).wait_s(Precedence(rank=0)) == pytest.approx(
         0.4 + 0.4 * 2
     )
@@ -313,8 +313,8 @@
 
 
 def test_client_that_came_back_goes_after_all_that_ask_for_the_first_time():
-    """Load: one service short of servers, refused clients come back. Grounds:
-    bench/patterns/starved, 0.05 of the worth with standard error 0.01."""
+    """With a service short of servers and clients that retry after refusals, this order
+    gains 0.05 of the total value (standard error 0.01)."""
     batcher = new_batcher()
     batcher.add(job('back', pieces=2, rank=0, returned=True), 0)
     batcher.add(job('cheap', pieces=2, rank=2), 0)
@@ -323,8 +323,8 @@
 
 
 def test_wait_of_a_client_that_came_back_counts_what_will_overtake_it():
-    """Load: more first tries than the servers carry. Without it clients that came
-    back wait for a turn that never comes: bench/patterns/starved, 0.14 of the worth."""
+    """With more first attempts than the servers can handle, clients that retry would
+    otherwise wait without ever being served, which costs 0.14 of the total value."""
     batcher = new_batcher()
     servers = [server('s')]
     for number in range(100):
@@ -345,7 +345,7 @@
     servers = [server('s')]
     batcher.add(job('late', pieces=2, due=0.1), 0)
     batcher.add(job('in time', pieces=3), 0)
-    # They would leave with the next call, which has place.
+    # The late pieces still fit into the next call.
     assert batcher.pieces_to_shed(servers, SPEC, 0) == []
     batcher.add(job('more', pieces=1), 0)
     assert {piece.job.attempt_id for piece in batcher.pieces_to_shed(servers, SPEC, 0)} == {'late'}
@@ -384,7 +384,7 @@
     ),
 )
 def test_every_piece_leaves_exactly_once(arrivals):
-    """Against the naive statement: all that came leaves, in calls that fit."""
+    """All pieces that were added are sent once, in calls within batch size and capacity."""
     batcher = new_batcher()
     servers = [server('x', 'a'), server('y', 'b')]
     expected = []
@@ -407,9 +407,9 @@
 
 
 def test_giving_up_costs_one_look_at_all_that_waits(monkeypatch):
-    """Load: 400 pieces wait, a half of them of clients that came back. Grounds: a look at
-    all for each piece took 5.9 ms a decision instead of 0.1; at 0.4 of a core the
-    gateway that decides for a service was out of reach for the others."""
+    """With 400 queued pieces, half of them of retrying clients, a scan of the queue for
+    each piece took 5.9 ms per decision instead of 0.1 ms; on 0.4 of a core the owner of
+    a service then became unreachable for other gateways."""
     batcher = new_batcher()
     for number in range(200):
         batcher.add(job(f'r{number}', rank=number % 3), 0)
@@ -422,8 +422,8 @@
 
 
 def test_what_no_call_can_make_in_time_is_not_begun_but_given_up_at_once():
-    """Load: a decider that is behind. Grounds: results that come after their client's time
-    take the place of others, so that those are late as well."""
+    """Guards against an overloaded owner that runs pieces whose results come after their
+    deadline, so that these make other pieces late as well."""
     batcher = new_batcher()
     servers = [server('s')]
     batcher.add(job('vain', pieces=2, due=-4.9), 0)
@@ -445,7 +445,7 @@
     ),
 )
 def test_order_by_jobs_is_that_by_pieces(arrivals):
-    """Against the naive statement: each piece has its urgency, and all are sorted."""
+    """Compares with a reference implementation that sorts all pieces by urgency."""
     batcher = new_batcher()
     for number, (pieces, rank, returned, due, expires) in enumerate(arrivals):
         arrived = job(f'r{number}', pieces, rank=rank, returned=returned, due=due, expires=expires)
@@ -467,7 +467,7 @@
 
 @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 2), st.booleans()), max_size=20))
 def test_outlook_counts_for_all_what_is_counted_for_each(arrivals):
-    """Against the naive statement: for each precedence a look at all that waits."""
+    """Compares with a reference implementation that scans the queue per precedence."""
     batcher = new_batcher()
     servers = [server('x'), server('y')]
     batcher.add(job('under way', pieces=4), 0)
--- a/tests/test_gateway/test_stages/test_stages_client.py
+++ b/tests/test_gateway/test_stages/test_stages_client.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of the waits at the owners of stage services."""
+"""The waits that owners of stage services report to a gateway."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Owner:
-    """Answers how long pieces wait, or can't be reached."""
+    """Fake owner that reports how long pieces wait, or can't be reached."""
 
     def __init__(self, waits=None):
         self.waits = waits
--- a/tests/test_gateway/test_stages/test_stages_graph.py
+++ b/tests/test_gateway/test_stages/test_stages_graph.py
@@ -1,4 +1,4 @@
-"""Stages of one request: their order, and when short branches begin."""
+"""Stages of one request: their order, and when short branches start."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecordedPieces:
-    """Makes pieces at once, and notes the order in which stages began."""
+    """Runs pieces at once, and records the order in which stages started."""
 
     def __init__(self, fault_at=None):
         self.begun = []
@@ -44,7 +44,7 @@
         return [PieceResult(handle=f'a:1/{job.stage}-{piece}') for piece in job.pieces]
 
     def release(self, service, handles):
-        """Take no note."""
+        """Do nothing."""
 
     def wait_s(self, service, precedence):
         return self.waits.get(service, 0)
@@ -54,7 +54,7 @@
 
 
 class EndlessPieces(RecordedPieces):
-    """One stage is never made."""
+    """Never completes one of the stages."""
 
     def __init__(self, *, endless, fault_at):
         super().__init__(fault_at=fault_at)
@@ -114,8 +114,8 @@
 
 
 def test_short_branch_begins_with_the_last_stages_of_the_long_one():
-    """Seen on the bench: large results waited for three further stages and filled
-    the room of their makers."""
+    """Guards against large results that wait for three further stages and fill up the
+    capacity of their servers."""
     order, run = begun([stage(), stage(), stage(1), stage(2)], [1, 1, 1, 1])
     assert order[0] == (1, 2)
     assert run.inputs() == ('a:1/0-0', 'a:1/3-0')
@@ -146,11 +146,11 @@
 @pytest.mark.parametrize(
     ('sizes', 'zones'),
     [
-        # Little is read and made: anywhere.
+        # Small inputs and results: any zone.
         ([1000, 1000], ['', '']),
-        # Much is read: near it, wherever that is.
+        # Large inputs: the zone of the inputs.
         ([200_000, 1000], ['', 'away']),
-        # Much is made for the last server: near that one.
+        # Large results for the final server: the zone of that server.
         ([1000, 200_000], ['', 'home']),
     ],
 )
@@ -162,8 +162,8 @@
 
 
 def test_results_that_were_given_up_in_part_are_made_again():
-    """Broke a rule on the bench: the room of one stage was scarce, its results were
-    given up, and the next server got those of the other stage alone."""
+    """Guards against incomplete inputs: the results of a stage that is short of capacity
+    are released, and the final server gets those of the other stage alone."""
     pieces = RecordedPieces()
     run = run_of([stage(), RouteStage(service=ServiceName('other'))], [2, 1], pieces)
     assert asyncio.run(run.run()) is None
@@ -182,7 +182,7 @@
     st.sets(st.integers(0, 3)),
 )
 def test_held_means_that_every_needed_result_is_there(counts, lost):
-    """Against the naive statement: all pieces of all stages without followers."""
+    """Compares with a reference: all pieces of all stages without successors."""
     stages = [stage(), stage(), stage(1), stage(2)]
     run = run_of(stages, counts, RecordedPieces())
     assert asyncio.run(run.run()) is None
@@ -204,7 +204,7 @@
     call = SPEC.call_s + 4 * SPEC.piece_s
     deadlines = [pieces.jobs[number].deadline for number in range(3)]
     assert deadlines == pytest.approx([20 - 0.1 - 2 * call, 20 - 0.1 - call, 20 - 0.1])
-    # Small inputs are cheap to make again.
+    # Small inputs are cheap to recompute.
     assert pieces.jobs[1].expires == float('inf')
     assert pieces.jobs[2].expires == SPEC.keep_s - SPEC.call_s
 
@@ -219,7 +219,7 @@
 
 
 class HeldPieces(RecordedPieces):
-    """Makes the pieces of the first stage when it is told to."""
+    """Runs the pieces of the first stage only after the gate opens."""
 
     def __init__(self):
         super().__init__()
@@ -232,8 +232,8 @@
 
 
 def test_stage_is_never_asked_for_without_its_inputs():
-    """Broke a rule 34 times on one day: the client left in the moment in which its
-    first stage ended, so the results were given up before the next stage asked."""
+    """Guards against stages without inputs: if the client disconnects just as its first
+    stage ends, the results are released before the next stage is requested."""
 
     async def leave_as_the_first_stage_ends():
         pieces = HeldPieces()
@@ -255,9 +255,9 @@
 
 @pytest.mark.parametrize(('endless', 'fault_at'), [(0, 1), (1, 0)])
 def test_other_branches_are_given_up_once_a_stage_can_not_be_made(endless, fault_at):
-    """Pattern: two branches, and the service of one is short of servers.
+    """If the service of one branch is short of servers, the other branch is useless.
 
-    Nobody uses what the other one makes, and its places are free for others at once.
+    It is cancelled, so that its servers are free for other requests at once.
     """
     pieces = EndlessPieces(endless=endless, fault_at=fault_at)
     pieces.fault = PieceFault.late
--- a/tests/test_gateway/test_stages/test_stages_scheduler.py
+++ b/tests/test_gateway/test_stages/test_stages_scheduler.py
@@ -1,4 +1,4 @@
-"""Stages of a request at scripted servers: owners, room, inputs, leaves."""
+"""Stages of a request at scripted servers: owners, capacity, inputs, shutdown."""
 
 from __future__ import annotations
 
@@ -83,8 +83,8 @@
 
 
 def test_owner_that_answers_too_late_costs_sound_servers_nothing(key_file):
-    """Seen on the bench: at the deadline, calls went out once more and were
-    counted against the servers that were to work on them."""
+    """Guards against calls that are sent locally once the deadline has passed, and whose
+    timeouts then count as failures of healthy servers."""
 
     async def run():
         script, calls = piece_worker(lambda: '')
@@ -113,9 +113,10 @@
 
 @pytest.mark.parametrize('first', [refuse_full, hanging])
 def test_server_of_pieces_is_not_ejected_for_one_call(key_file, first):
-    """Seen on the bench: while gateways were replaced, two of them called the same
-    servers and each took the others' work for failures; and links that lost packets
-    delayed single calls, and two of four sound servers were left alone for seconds."""
+    """Guards against the ejection of healthy servers: while gateways are replaced, two of
+    them call the same servers, and each takes refusals caused by the other's calls for
+    failures; and packet loss delays single calls, which led to the ejection of two of
+    four servers for seconds."""
 
     async def run():
         place = {}
@@ -202,8 +203,8 @@
 
 
 def test_owner_that_places_too_late_still_forms_the_batches(key_file):
-    """Seen on the bench: links that lost packets delayed places by an owner, and
-    each gateway then formed batches for the same servers for a second."""
+    """Guards against all gateways forming batches for the same servers for a second,
+    because packet loss had delayed placement replies of the owner."""
 
     async def run():
         script, calls = piece_worker(lambda: '')
@@ -227,8 +228,8 @@
 
 
 def test_piece_that_found_no_room_still_has_its_inputs(key_file):
-    """Seen on the bench: a nearly full server refused one piece of a call, whose
-    inputs had been given up by then, and all stages were run again."""
+    """Guards against running all stages again: a nearly full server refuses one piece of
+    a call, and the piece's inputs have been released by then."""
 
     async def run():
         place = {}
@@ -262,11 +263,12 @@
     asyncio.run(run())
 
 
-# 'a3' goes before this gateway for the service, 'g2' after it.
+# In the owner order of the service, 'a3' precedes this gateway, 'g2' follows it.
 @pytest.mark.parametrize(('stopping', 'kept'), [('', False), ('a3', True), ('g2', False)])
 def test_inputs_are_kept_while_another_gateway_may_call_the_same_servers(key_file, stopping, kept):
-    """Seen in an incident of Thies: gateways were restarted in turn, calls waited
-    at servers behind another gateway's, and 750 inputs were gone by their turn."""
+    """Guards against lost inputs during a rolling restart of gateways: calls queue at
+    servers behind those of another gateway, and 750 inputs were released before they were
+    fetched."""
 
     async def run():
         place, freed, seen = {}, [], []
@@ -300,8 +302,8 @@
 
 
 def test_server_that_leaves_while_stages_run_again_is_not_sent_to(key_file):
-    """Broke DRAIN in a hunt of Thies: the second engine was chosen before the
-    stages ran again, which took 13 s, and had left by then."""
+    """Guards against sending to a server that has left: the second engine was chosen
+    before the stages ran again, which took 13 s, and had left by then."""
 
     async def run():
         place, runs, asked_names = {}, [], []
@@ -370,9 +372,9 @@
 
 
 def test_planned_stop_hands_back_what_is_still_in_stages(key_file):
-    """Pattern: a process is stopped while stages take longer than its grace period.
-    Grounds: such requests were cut at its end; 1 s before it they are refused, and
-    their clients have 3 s and more to ask elsewhere."""
+    """Requests in stages that outlast the grace period of a shutdown would be cut off at
+    its end. They are refused 1 s before it, so that their clients have 3 s or more to
+    retry elsewhere."""
 
     async def run():
         engine = ScriptedServer(stream_script(1, 3))
@@ -394,7 +396,7 @@
 
 
 def manifest_with_time(timeout_ms):
-    """Return the usual document with another timeout for all routes."""
+    """Return the default document with another timeout for all routes."""
     document = json.loads(manifest())
     for route in document['routes']:
         route['timeout_ms'] = timeout_ms
@@ -402,10 +404,10 @@
 
 
 def test_pieces_that_surely_fit_free_their_inputs_though_others_may_not():
-    """Pattern: a service whose calls nearly fill its servers, after one that is short of room.
+    """A service whose calls nearly fill its servers follows one that is short of capacity.
 
-    The inputs of a whole call were kept until its answer, twice as long as they were
-    needed, so the service before it made calls of two thirds of its batch.
+    The inputs of a whole call were stored until its response, twice as long as needed, so
+    the preceding service sent calls of only two thirds of its batch size.
     """
     capacity = ResultCapacity(used_bytes={BackendId('a'): 400 + 500})
     spec = BatchSpec(
@@ -413,7 +415,7 @@
     )
     pieces = [Piece(job=piece_job(result_bytes=10), number=n, arrival=n) for n in range(50)]
     call = StageCall(server=server_of_crops('a'), pieces=pieces, expected_s=0.7)
-    # 400 bytes of others; 850 of 1,000 are never refused.
+    # 400 bytes of other calls; the first 850 of 1,000 are never refused.
     assert capacity.guaranteed_bytes(call, spec) == 450
 
 
