--- a/ringseam/gateway/engines/client.py
+++ b/ringseam/gateway/engines/client.py
@@ -93,8 +93,8 @@
         while choice is not None and choice.engine is not None and choice.wait_s:
             was_limited = self._is_limited(choice.engine)
             await asyncio.sleep(choice.wait_s)
-            limit_unchanged = was_limited or not self._is_limited(choice.engine)
-            if limit_unchanged and self._accepts_work(choice.engine):
+            still_valid = was_limited or not self._is_limited(choice.engine)
+            if still_valid and self._accepts_work(choice.engine):
                 break
             choice = await self._choose(self._query(work, dry=False))
         self._record_wait(work, choice)
@@ -161,12 +161,12 @@
             choice = await self._query_owner(owner, query)
             if choice is not None:
                 if choice.engine is not None and not query.dry:
-                    self._record(query, choice)
+                    self._record_choice(query, choice)
                 return choice
         # Any other gateway may have to place requests locally as well.
         return self._place_here(query, peers=self.follower.gateway_names)
 
-    def _record(self, query: PlaceRequest, choice: EngineChoice) -> None:
+    def _record_choice(self, query: PlaceRequest, choice: EngineChoice) -> None:
         service = self._service(query.service)
         if service is not None and choice.engine is not None:
             now = self.clock.now()
--- a/ringseam/gateway/engines/placement.py
+++ b/ringseam/gateway/engines/placement.py
@@ -135,9 +135,9 @@
         ]
         if not candidates:
             return None
-        least = min(known.cost for known in candidates)
-        equal = [known for known in candidates if known.cost == least]
-        best = min(equal, key=lambda known: _tie_break_key(query, known.engine))
+        least = min(candidate.cost for candidate in candidates)
+        equal = [candidate for candidate in candidates if candidate.cost == least]
+        best = min(equal, key=lambda candidate: _tie_break_key(query, candidate.engine))
         if not query.dry:
             self.pace.take(best.engine.instance, service.cold, now, peers=peers)
             self.record(query, best.engine.instance, service, now)
@@ -176,11 +176,11 @@
 
     def started(self, request: str, now: float) -> None:
         """Record that the first event of a request has arrived."""
-        known = self.requests.get(request)
-        if known is not None:
-            known.streaming = True
-            known.prefill_tokens = 0
-            self._cache(known.instance).last_prefill_at = now
+        placed = self.requests.get(request)
+        if placed is not None:
+            placed.streaming = True
+            placed.prefill_tokens = 0
+            self._cache(placed.instance).last_prefill_at = now
 
     def ended(self, request: str) -> None:
         """Record that a request is over."""
@@ -247,28 +247,28 @@
         others = sampler.sample(list(engines), _RANDOM_SAMPLE)
         found = {engine.instance: engine for engine in engines if engine.instance in caching}
         allowed = {engine.instance: engine for engine in others} | found
-        left = [engine for name, engine in allowed.items() if name not in query.avoid]
-        return left or engines
+        remaining = [engine for name, engine in allowed.items() if name not in query.avoid]
+        return remaining or engines
 
     def _caching_engines(self, query: PlaceRequest) -> set[BackendId]:
         """Return some engines that cache the longest known prefix of a prompt."""
         for part in reversed(query.prefix):
-            known = self.engines_by_part.get(part.name)
-            if known:
-                return set(itertools.islice(reversed(known), _CACHING_SAMPLE))
+            engines = self.engines_by_part.get(part.name)
+            if engines:
+                return set(itertools.islice(reversed(engines), _CACHING_SAMPLE))
         return set()
 
     def _record_part(self, instance: BackendId, part: PromptPart, capacity: float) -> None:
-        known = self.engines_by_part.setdefault(part.name, {})
-        known.pop(instance, None)
-        known[instance] = None
+        engines = self.engines_by_part.setdefault(part.name, {})
+        engines.pop(instance, None)
+        engines[instance] = None
         for name in self._cache(instance).touch(part, capacity):
             self._evict_part(name, instance)
 
     def _evict_part(self, name: str, instance: BackendId) -> None:
-        known = self.engines_by_part.get(name, {})
-        known.pop(instance, None)
-        if not known:
+        engines = self.engines_by_part.get(name, {})
+        engines.pop(instance, None)
+        if not engines:
             self.engines_by_part.pop(name, None)
 
     def _cache(self, instance: BackendId) -> PrefixCache:
@@ -339,20 +339,22 @@
         waiting = [placed.prefill_tokens for placed in engine_requests if placed.prefill_tokens]
         if not waiting:
             return 0
-        since = now - self._cache(instance).last_prefill_at
-        done = min(max(waiting), int(since * PREFILL_TOKENS_PER_S / _LONG_PREFILL_FACTOR))
+        elapsed_s = now - self._cache(instance).last_prefill_at
+        done = min(max(waiting), int(elapsed_s * PREFILL_TOKENS_PER_S / _LONG_PREFILL_FACTOR))
         return sum(waiting) - done
 
     def _lateness_cost(self, query: PlaceRequest, tokens: int, wait_s: float) -> float:
         """Return the expected cost of waiting ``wait_s`` and the prefill of ``tokens``."""
-        first = wait_s + _FIRST_EVENT_S + _LONG_PREFILL_FACTOR * tokens / PREFILL_TOKENS_PER_S
-        spare = query.objective_ms / MS_PER_S - first
-        late = min(1, max(0, 1 - spare / _PREDICTION_SPREAD_S))
-        return late * LATE_VALUE_LOSS * response_value(query.priority) + first * _WAIT_COST_PER_S
+        first_event_s = (
+            wait_s + _FIRST_EVENT_S + _LONG_PREFILL_FACTOR * tokens / PREFILL_TOKENS_PER_S
+        )
+        spare_s = query.objective_ms / MS_PER_S - first_event_s
+        late = min(1, max(0, 1 - spare_s / _PREDICTION_SPREAD_S))
+        return late * LATE_VALUE_LOSS * response_value(query.priority) + first_event_s * _WAIT_COST_PER_S
 
     def _drop_expired(self, now: float) -> None:
-        over = [request for request, placed in self.requests.items() if placed.expires_at < now]
-        for request in over:
+        expired = [request for request, placed in self.requests.items() if placed.expires_at < now]
+        for request in expired:
             self.ended(request)
 
 
--- a/ringseam/gateway/stages/batching.py
+++ b/ringseam/gateway/stages/batching.py
@@ -117,12 +117,12 @@
         """Return the next call, or None if none should be sent now."""
         if not self.waiting:
             return None
-        idle = self._idle(servers, spec, now)
+        idle = self._idle_servers(servers, spec, now)
         if not idle:
             return None
-        alive = [piece for piece in self.waiting if not _is_unmeetable(piece, spec, now)]
+        feasible = [piece for piece in self.waiting if not _is_unmeetable(piece, spec, now)]
         snapshot = QueueSnapshot(
-            servers=servers, spec=spec, now=now, ordered=dispatch_order(alive, now)
+            servers=servers, spec=spec, now=now, ordered=dispatch_order(feasible, now)
         )
         idle.sort(key=lambda server: self._server_preference(server, now))
         zones = collections.Counter(server.zone for server in idle)
@@ -160,12 +160,12 @@
             for precedence in estimate.counts_by_precedence
             if precedence.returned
         }
-        latest = now + spec.call_s + spec.piece_s
+        earliest_end = now + spec.call_s + spec.piece_s
         late = [
             piece
             for piece in self.waiting
             if not piece.group.started
-            and piece.job.due < latest + waits.get(piece.job.precedence, 0)
+            and piece.job.due < earliest_end + waits.get(piece.job.precedence, 0)
         ]
         started = [piece for piece in unmeetable if piece.group.started]
         return late + started if len(self.waiting) - len(late) >= next_calls else unmeetable
@@ -210,7 +210,7 @@
 
     # -- helpers ------------------------------------------------------------
 
-    def _idle(
+    def _idle_servers(
         self,
         servers: Collection[BackendReport],
         spec: BatchSpec,
@@ -256,10 +256,10 @@
         return int((slowness - 1) * spec.batch * spec.slots * faster)
 
     def _server_preference(self, server: BackendReport, now: float) -> tuple[bool, float, int, str]:
-        standing = self.health.of(server.instance)
+        server_health = self.health.of(server.instance)
         return (
-            standing.silent,
-            round(standing.slowness_at(now), 1),
+            server_health.silent,
+            round(server_health.slowness_at(now), 1),
             self.capacity.used_bytes.get(server.instance, 0),
             server.instance,
         )
--- a/ringseam/gateway/stages/graph.py
+++ b/ringseam/gateway/stages/graph.py
@@ -100,11 +100,11 @@
         stages = self.stages
         ends: list[float] = []
         for number, stage in enumerate(stages):
-            begin = max((ends[predecessor] for predecessor in stage.after), default=0)
+            start = max((ends[predecessor] for predecessor in stage.after), default=0)
             if self.plan.piece_count(number):
-                begin += self.pieces.wait_s(stage.service, self.work.precedence)
-                begin += self.plan.call_s(number)
-            ends.append(begin)
+                start += self.pieces.wait_s(stage.service, self.work.precedence)
+                start += self.plan.call_s(number)
+            ends.append(start)
         return max(ends, default=0)
 
     def services(self) -> set[ServiceName]:
@@ -123,12 +123,12 @@
 
     def input_bytes(self) -> dict[str, int]:
         """Return the bytes of the stored results by availability zone."""
-        found: collections.Counter[str] = collections.Counter()
+        counts: collections.Counter[str] = collections.Counter()
         for number, handles in self.handles.items():
             size = self.stages[number].result_bytes
             for handle in handles:
-                found[self.zone_by_address.get(maker_of(handle), '')] += size
-        return dict(found)
+                counts[self.zone_by_address.get(maker_of(handle), '')] += size
+        return dict(counts)
 
     def release(self) -> None:
         """Release all results."""
@@ -171,9 +171,9 @@
         if len(inputs) < sum(map(self.plan.piece_count, stage.after)):
             # The inputs were released meanwhile, because this run is being cancelled.
             return PieceFault.gone
-        made = await self.pieces.run(self._job(number, stage, count, inputs))
-        self.handles[number] = tuple(result.handle for result in made if result.handle)
-        fault = _first_fault(made)
+        piece_results = await self.pieces.run(self._job(number, stage, count, inputs))
+        self.handles[number] = tuple(result.handle for result in piece_results if result.handle)
+        fault = _first_fault(piece_results)
         if fault is None:
             self.completed.add(number)
             self.completed_at[number] = self.clock.now()
@@ -241,11 +241,11 @@
 
     def _majority_zone(self, inputs: tuple[str, ...]) -> str:
         """Return the zone of most inputs."""
-        found = collections.Counter(
+        counts = collections.Counter(
             self.zone_by_address.get(maker_of(handle), '') for handle in inputs
         )
-        found.pop('', None)
-        return found.most_common(1)[0][0] if found else ''
+        counts.pop('', None)
+        return counts.most_common(1)[0][0] if counts else ''
 
     def _expiry_of_inputs(self, stage: RouteStage) -> float:
         """Return when the inputs of a stage expire; infinite if they are cheap to redo."""
@@ -286,5 +286,5 @@
     return None
 
 
-def _first_fault(made: list[PieceResult]) -> PieceFault | None:
-    return next((result.fault for result in made if result.fault is not None), None)
+def _first_fault(piece_results: list[PieceResult]) -> PieceFault | None:
+    return next((result.fault for result in piece_results if result.fault is not None), None)
--- a/ringseam/gateway/stages/scheduler.py
+++ b/ringseam/gateway/stages/scheduler.py
@@ -132,11 +132,11 @@
         """Release results at the servers that store them, in batches."""
         state = self._state(service)
         for handle in handles:
-            maker = maker_of(handle)
-            if maker not in state.pending_releases:
-                state.pending_releases[maker] = []
-                self.tasks.spawn(self._release_batched(state, maker))
-            state.pending_releases[maker].append(handle)
+            address = maker_of(handle)
+            if address not in state.pending_releases:
+                state.pending_releases[address] = []
+                self.tasks.spawn(self._release_batched(state, address))
+            state.pending_releases[address].append(handle)
 
     def refresh(self) -> None:
         """Dispatch again after servers, routes or gateways have changed."""
@@ -153,8 +153,14 @@
     def waits(self, service: ServiceName) -> Waits:
         """Return the estimated waits of new pieces and the time to clear the queue."""
         estimate = self._estimate(service)
-        first = {known.rank for known in estimate.counts_by_precedence if not known.returned} | {0}
-        again = {known.rank for known in estimate.counts_by_precedence if known.returned} | {0}
+        first = {
+            precedence.rank
+            for precedence in estimate.counts_by_precedence
+            if not precedence.returned
+        } | {0}
+        again = {
+            precedence.rank for precedence in estimate.counts_by_precedence if precedence.returned
+        } | {0}
         return Waits(
             first_ms={
                 rank: int(MS_PER_S * estimate.wait_s(Precedence(rank=rank))) for rank in first
@@ -189,22 +195,22 @@
             if self._remove_quarantined(state, call):
                 self.tasks.spawn(self._call(state, call, spec))
             call = state.batcher.next_call(self._servers(service), spec, now)
-        self._schedule_next_turn(state, now)
+        self._schedule_permit_dispatch(state, now)
         if now >= state.next_shed_at:
             state.next_shed_at = now + _SHED_INTERVAL_S
             for piece in state.batcher.pieces_to_shed(self._servers(service), spec, now):
                 state.batcher.cancel([piece])
                 state.resolve(piece, PieceResult(fault=PieceFault.late))
 
-    def _schedule_next_turn(self, state: ServiceState, now: float) -> None:
+    def _schedule_permit_dispatch(self, state: ServiceState, now: float) -> None:
         """Schedule a dispatch for when a rate limit or pause of a server ends."""
-        if not state.batcher.waiting or state.next_turn_at > now:
+        if not state.batcher.waiting or state.next_permit_at > now:
             return
         service = state.batcher.service
         servers = (server.instance for server in self._servers(service))
-        waits = [wait_s for one in servers if (wait_s := self.pace.call_wait_s(one, now))]
+        waits = [wait_s for instance in servers if (wait_s := self.pace.call_wait_s(instance, now))]
         if waits:
-            state.next_turn_at = now + min(waits)
+            state.next_permit_at = now + min(waits)
             loop = asyncio.get_running_loop()
             loop.call_later(min(waits) + _TIMER_MARGIN_S, self._dispatch, service)
 
@@ -386,13 +392,13 @@
         handles = tuple(result.handle for result in job_results.by_piece.values() if result.handle)
         self.release(state.batcher.service, handles)
 
-    async def _release_batched(self, state: ServiceState, maker: str) -> None:
+    async def _release_batched(self, state: ServiceState, address: str) -> None:
         """Release results in one call; their capacity counts as free after it."""
-        await asyncio.sleep(self._release_wait_s(state, maker))
-        handles = state.pending_releases.pop(maker, [])
+        await asyncio.sleep(self._release_wait_s(state, address))
+        handles = state.pending_releases.pop(address, [])
         try:
             async with asyncio.timeout(_RELEASE_TIMEOUT_S):
-                await self.calls.release(maker, state.server_of(handles), handles)
+                await self.calls.release(address, state.server_of(handles), handles)
         except (ChannelError, asyncio.TimeoutError) as error:
             # The server discards results by itself when their retention time is over.
             logger.debug('results not released: %s', error)
@@ -401,12 +407,12 @@
             state.remove_result(handle)
         self._dispatch(state.batcher.service)
 
-    def _release_wait_s(self, state: ServiceState, maker: str) -> float:
+    def _release_wait_s(self, state: ServiceState, address: str) -> float:
         """Return how long to collect results before a release call, seconds.
 
         It is longer for a rate-limited server, and lasts at least until a pause ends.
         """
-        instance = state.server_of(state.pending_releases[maker])
+        instance = state.server_of(state.pending_releases[address])
         now = self.node.clock.now()
         if self.pace.limits.of(instance) is None:
             return max(_RELEASE_BATCH_S, self.pace.pauses.left_s(instance, now))
@@ -439,8 +445,8 @@
         return self.follower.view.serving(service)
 
     def _spec(self, service: ServiceName) -> BatchSpec | None:
-        known = self.follower.table.services.get(service)
-        return known.batching if known else None
+        backend_service = self.follower.table.services.get(service)
+        return backend_service.batching if backend_service else None
 
 
 def _piece_id(piece: Piece) -> str:
--- a/ringseam/gateway/stages/servicestate.py
+++ b/ringseam/gateway/stages/servicestate.py
@@ -68,7 +68,7 @@
     #: When the last release call to each rate-limited server was or will be sent.
     released_at: dict[BackendId, float] = field(default_factory=dict)
     #: When the next dispatch is scheduled because a server has a send permit.
-    next_turn_at: float = float('-inf')
+    next_permit_at: float = float('-inf')
     #: How long new pieces would wait, and until when this estimate is reused.
     estimate: WaitEstimate = field(default_factory=WaitEstimate)
     estimate_until: float = float('-inf')
--- a/tests/test_gateway/test_engines/test_engines_placement.py
+++ b/tests/test_gateway/test_engines/test_engines_placement.py
@@ -60,7 +60,7 @@
     return placement and placement.engine
 
 
-def test_prompt_goes_where_its_shared_parts_are_kept():
+def test_prompt_goes_where_its_shared_parts_are_cached():
     placer = new_placer()
     first = chosen_engine(placer, place_request('r1'))
     placer.ended('r1')
@@ -74,7 +74,7 @@
     )
 
 
-def test_backlog_turns_requests_away_from_a_kept_prompt():
+def test_backlog_outweighs_a_cached_prompt():
     placer = new_placer()
     first = chosen_engine(placer, place_request('r0'))
     for number in range(1, 12):
@@ -82,7 +82,7 @@
     assert chosen_engine(placer, place_request('r99')) is not first
 
 
-def test_long_prompt_is_kept_from_an_engine_with_a_dear_stream():
+def test_long_prompt_avoids_an_engine_with_a_valuable_stream():
     placer = new_placer()
     first = chosen_engine(placer, place_request('r0', session='t'))
     placer.started('r0', 0)
@@ -91,7 +91,7 @@
     assert chosen_engine(placer, long) is not first
 
 
-def test_stream_that_is_yet_to_begin_counts_as_disturbed_by_what_follows():
+def test_stream_that_has_yet_to_start_is_stalled_by_later_prompts():
     placer = new_placer()
     engine_id = ENGINES[0].instance
     placer.record(place_request('r0', 9000, session='t'), engine_id, LLM, 0)
@@ -115,7 +115,7 @@
         (9, True, 9000),
     ],
 )
-def test_backlog_is_what_was_not_read_since_a_prompt_was_done(now, began, backlog):
+def test_backlog_counts_tokens_not_processed_since_the_last_prefill(now, began, backlog):
     placer = new_placer()
     engine_id = ENGINES[0].instance
     placer.record(place_request('r0', 9000, session='t', left_ms=60_000), engine_id, LLM, 0)
@@ -128,7 +128,7 @@
     assert found.backlog_tokens == backlog
 
 
-def test_bytes_of_stage_results_draw_a_request_to_their_zone():
+def test_stage_results_attract_a_request_to_their_zone():
     placer = new_placer()
     chosen = chosen_engine(placer, place_request('r', result_bytes={'b': 5_000_000}))
     assert chosen.zone == 'b'
@@ -143,14 +143,14 @@
     assert chosen_engine(placer, place_request('q', avoid=('e2',))).instance == 'e1'
 
 
-def test_dry_question_leaves_no_trace():
+def test_dry_request_is_not_recorded():
     placer = new_placer()
     chosen_engine(placer, place_request('r', dry=True))
     assert not placer.requests
     assert not placer.caches
 
 
-def test_memory_drops_the_least_recently_used_parts():
+def test_cache_evicts_the_least_recently_used_parts():
     placer = new_placer()
     engine_id = BackendId('e1')
     small = replace(LLM, engine=EngineSpec(slots=128, cache_tokens=12_000))
@@ -160,7 +160,7 @@
     assert 'old' not in placer.caches[engine_id].token_counts
 
 
-def test_request_whose_end_was_never_heard_of_is_forgotten():
+def test_request_without_a_reported_end_expires():
     placer = new_placer()
     chosen_engine(placer, place_request('r1'))
     chosen_engine(placer, place_request('r2'), now=100)
@@ -236,7 +236,7 @@
 MANY = [engine(f'e{number}', 'abc'[number % 3]) for number in range(300)]
 
 
-def test_of_many_engines_a_few_are_compared(monkeypatch):
+def test_only_a_sample_of_many_engines_is_compared(monkeypatch):
     """Comparing all of 390 engines takes 4.5 ms per placement on a third of a core, and
     finds no engine of a lower cost than a sample does."""
     placer = new_placer()
@@ -252,7 +252,7 @@
     assert len(compared) <= 200 * 32
 
 
-def test_prompt_is_found_among_many_engines():
+def test_cached_prompt_is_found_among_many_engines():
     placer = new_placer()
     first = placer.place(place_request('r1', session='t'), MANY, LLM, 0).engine
     placer.ended('r1')
@@ -262,14 +262,14 @@
     assert placer.place(place_request('r2', session='t'), MANY, LLM, 0).engine is first
 
 
-def test_all_engines_are_left_when_those_that_are_compared_are_tried():
+def test_all_engines_are_considered_when_the_sample_was_tried():
     placer = new_placer()
     tried = tuple(one.instance for one in MANY[:-1])
     assert placer.place(place_request('r', avoid=tried), MANY, LLM, 0).engine is MANY[-1]
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.sampled_from('stuvw'), st.booleans())))
-def test_who_keeps_a_part_is_what_the_books_say(steps):
+def test_engines_by_part_matches_the_caches(steps):
     placer = new_placer()
     small = replace(LLM, engine=EngineSpec(slots=128, cache_tokens=14_000))
     for number, (which, session, forgets) in enumerate(steps):
--- a/tests/test_gateway/test_engines/test_engines_silence.py
+++ b/tests/test_gateway/test_engines/test_engines_silence.py
@@ -54,7 +54,7 @@
     assert detector.silent_engines(now) == ([ENGINE] if silent else [])
 
 
-def test_events_of_any_stream_show_that_the_engine_lives():
+def test_events_of_any_stream_show_that_the_engine_is_alive():
     detector = new_detector(r=response(), q=response())
     detector.data_received(ENGINE, 'r', 0.1, event=True)
     detector.data_received(ENGINE, 'q', 3.0, event=True)
@@ -69,7 +69,7 @@
     assert not detector.silent_engines(10.5)
 
 
-def test_only_what_may_be_repeated_is_given_up():
+def test_only_repeatable_requests_are_closed():
     once, again = response(may_repeat=False), response()
     detector = new_detector(once=once, again=again)
     assert detector.close_repeatable(ENGINE) == ['again']
@@ -77,7 +77,7 @@
     assert not once.channel.closed
 
 
-def test_nothing_is_kept_of_answers_that_are_over():
+def test_ended_responses_leave_no_state():
     detector = new_detector(r=response())
     detector.response_ended(ENGINE, 'r')
     detector.response_ended(ENGINE, 'r')
--- a/tests/test_gateway/test_stages/test_stages_batching.py
+++ b/tests/test_gateway/test_stages/test_stages_batching.py
@@ -55,7 +55,7 @@
     return [piece.job.attempt_id for piece in call.pieces]
 
 
-def test_pieces_wait_while_all_are_busy_and_leave_in_a_full_call():
+def test_pieces_wait_for_a_free_server_and_are_sent_in_a_full_call():
     batcher = new_batcher()
     batcher.add(job('first'), 0)
     busy = batcher.next_call([server('s')], SPEC, 0)
@@ -69,7 +69,7 @@
     assert requests_of(batcher.next_call([server('s')], SPEC, 0)) == ['third'] * 3
 
 
-def test_call_is_filled_with_a_later_job_that_it_takes_whole():
+def test_call_is_filled_with_a_later_job_that_fits_whole():
     """A job that is split over two calls finishes with the second, but occupies capacity
     from the first, so the rest of a call is filled with a job that fits as a whole."""
     batcher = new_batcher()
@@ -80,7 +80,7 @@
     assert requests_of(call) == ['first', 'first', 'first', 'fits']
 
 
-def test_job_of_more_pieces_than_a_call_takes_is_begun_with_a_full_call():
+def test_job_larger_than_a_batch_starts_with_a_full_call():
     batcher = new_batcher()
     batcher.add(job('small', pieces=1, due=1), 0)
     batcher.add(job('large', pieces=9, due=2), 0)
@@ -90,50 +90,50 @@
 
 def test_urgent_request_goes_first_and_a_late_one_last():
     batcher = new_batcher()
-    batcher.add(job('late and cheap', due=-1, rank=1), 0)
-    batcher.add(job('late and dear', due=-1, rank=0), 0)
-    batcher.add(job('plain', rank=1), 0)
-    batcher.add(job('dear', rank=0), 0)
+    batcher.add(job('late and low', due=-1, rank=1), 0)
+    batcher.add(job('late and urgent', due=-1, rank=0), 0)
+    batcher.add(job('normal', rank=1), 0)
+    batcher.add(job('urgent', rank=0), 0)
     call = batcher.next_call([server('s')], SPEC, 0)
-    assert requests_of(call) == ['dear', 'plain', 'late and dear', 'late and cheap']
+    assert requests_of(call) == ['urgent', 'normal', 'late and urgent', 'late and low']
 
 
-def test_begun_job_goes_before_a_dearer_one_that_holds_no_room():
+def test_started_job_precedes_an_urgent_one_without_stored_results():
     batcher = new_batcher()
-    batcher.add(job('begun', pieces=6, rank=2, due=-1), 0)
+    batcher.add(job('started', pieces=6, rank=2, due=-1), 0)
     batcher.call_ended(batcher.next_call([server('s')], SPEC, 0))
-    batcher.add(job('dear', pieces=2, rank=0), 0)
+    batcher.add(job('urgent', pieces=2, rank=0), 0)
     call = batcher.next_call([server('s')], SPEC, 0)
-    assert requests_of(call) == ['begun', 'begun', 'dear', 'dear']
+    assert requests_of(call) == ['started', 'started', 'urgent', 'urgent']
 
 
-def test_job_whose_inputs_are_soon_lost_goes_first():
+def test_job_whose_inputs_expire_soon_goes_first():
     """Guards against requests of low priority that wait between stages until their
     inputs expire, and then have to run all stages again."""
     batcher = new_batcher()
-    batcher.add(job('dear', pieces=2, rank=0), 0)
+    batcher.add(job('urgent', pieces=2, rank=0), 0)
     batcher.add(job('expiring', pieces=2, rank=2, expires=1.0), 0)
     batcher.add(job('waiting', pieces=2, rank=2, expires=9.0), 0)
     call = batcher.next_call([server('s')], SPEC, 0)
-    assert requests_of(call) == ['expiring', 'expiring', 'dear', 'dear']
+    assert requests_of(call) == ['expiring', 'expiring', 'urgent', 'urgent']
 
 
 def test_late_job_does_not_go_first_for_its_inputs():
     batcher = new_batcher()
-    batcher.add(job('dear', pieces=4, rank=0), 0)
+    batcher.add(job('urgent', pieces=4, rank=0), 0)
     batcher.add(job('late', pieces=2, rank=2, due=-1, expires=1.0), 0)
-    assert requests_of(batcher.next_call([server('s')], SPEC, 0)) == ['dear'] * 4
+    assert requests_of(batcher.next_call([server('s')], SPEC, 0)) == ['urgent'] * 4
 
 
-def test_late_job_whose_inputs_are_soon_lost_goes_before_other_late_ones():
+def test_late_job_whose_inputs_expire_soon_precedes_other_late_ones():
     batcher = new_batcher()
-    batcher.add(job('late and dear', pieces=2, rank=0, due=-1), 0)
+    batcher.add(job('late and urgent', pieces=2, rank=0, due=-1), 0)
     batcher.add(job('late', pieces=2, rank=2, due=-1, expires=1.0), 0)
     call = batcher.next_call([server('s')], SPEC, 0)
-    assert requests_of(call) == ['late', 'late', 'late and dear', 'late and dear']
+    assert requests_of(call) == ['late', 'late', 'late and urgent', 'late and urgent']
 
 
-def test_call_is_filled_with_what_other_zones_would_not_reach_next():
+def test_call_is_filled_with_overflow_of_other_zones():
     """Guards against half-full calls while pieces wait for servers of their own zones,
     which makes the queues of all services grow."""
     batcher = new_batcher()
@@ -146,7 +146,7 @@
     assert requests_of(call) == ['there', 'there', 'here']
 
 
-def test_slow_server_takes_only_what_the_others_would_do_later():
+def test_slow_server_takes_only_pieces_that_faster_ones_would_run_later():
     batcher = new_batcher()
     slow, fast = server('slow'), server('fast')
     batcher.health.compared(slow.instance, 5.0, now=0)
@@ -173,12 +173,12 @@
     batcher = new_batcher()
     servers = [server('silent'), server('sound')]
     batcher.health.fell_silent(BackendId('silent'), 0)
-    batcher.add(job('dear', rank=0, pieces=3), 0)
-    batcher.add(job('plain', pieces=3), 0)
+    batcher.add(job('urgent', rank=0, pieces=3), 0)
+    batcher.add(job('normal', pieces=3), 0)
     batcher.add(job('last', pieces=3, due=20), 0)
     call = batcher.next_call(servers, SPEC, 0)
     assert call.server.instance == 'sound'
-    assert requests_of(call) == ['dear'] * 3
+    assert requests_of(call) == ['urgent'] * 3
     call = batcher.next_call(servers, SPEC, 0)
     assert call.server.instance == 'silent'
     assert requests_of(call) == ['last']
@@ -200,7 +200,7 @@
     assert call.server is far
 
 
-def test_dear_piece_leaves_a_busy_zone_at_once_but_not_an_idle_one():
+def test_urgent_piece_leaves_a_busy_zone_at_once_but_not_an_idle_one():
     batcher = new_batcher()
     near, far = server('near', 'a'), server('far', 'b')
     batcher.add(job('r', zone='a', due=100, rank=0), 0)
@@ -217,14 +217,14 @@
     assert batcher.next_call([near, far], SPEC, 2).server is far
 
 
-def test_room_bounds_a_call():
+def test_result_capacity_bounds_a_call():
     batcher = new_batcher()
     batcher.add(job('r', pieces=4, size=400_000), 0)
     call = batcher.next_call([server('s')], SPEC, 0)
     assert len(call.pieces) == 2
 
 
-def test_kept_results_take_room_until_they_are_freed():
+def test_stored_results_use_capacity_until_they_are_released():
     batcher = new_batcher()
     batcher.capacity.reserve(BackendId('s'), 900_000)
     batcher.add(job('r', size=400_000), 0)
@@ -233,13 +233,13 @@
     assert batcher.next_call([server('s')], SPEC, 0) is not None
 
 
-def test_result_larger_than_the_room_is_tried_alone():
+def test_result_larger_than_the_capacity_is_tried_alone():
     batcher = new_batcher()
     batcher.add(job('r', pieces=2, size=2_000_000), 0)
     assert len(batcher.next_call([server('s')], SPEC, 0).pieces) == 1
 
 
-def test_full_server_is_left_alone_for_a_while():
+def test_full_server_gets_no_calls_for_a_while():
     batcher = new_batcher()
     batcher.add(job('r'), 0)
     call = batcher.next_call([server('s')], SPEC, 0)
@@ -249,7 +249,7 @@
     assert batcher.next_call([server('s')], SPEC, UNKNOWN_USAGE_S * 2) is not None
 
 
-def test_room_taken_by_unknown_results_is_left_out_for_a_while():
+def test_capacity_used_by_unknown_results_is_not_assigned_for_a_while():
     """Guards against calls every 60 ms that exceed the free capacity of servers, which
     store results of a lost owner that the new one doesn't know."""
     batcher = new_batcher()
@@ -276,13 +276,13 @@
     assert again.server is not call.server
 
 
-def test_wait_counts_what_is_ahead_by_priority():
+def test_wait_counts_pieces_ahead_by_priority():
     batcher = new_batcher()
     servers = [server('s')]
     batcher.add(job('under way', pieces=4), 0)
     batcher.next_call(servers, SPEC, 0)
-    batcher.add(job('dear', pieces=8, rank=0), 0)
-    batcher.add(job('cheap', pieces=8, rank=2), 0)
+    batcher.add(job('urgent', pieces=8, rank=0), 0)
+    batcher.add(job('low', pieces=8, rank=2), 0)
     # The call in progress takes 0.4 s more; then 4 pieces are sent every 0.4 s.
     assert batcher.wait_estimate(servers, SPEC, 0).wait_s(Precedence(rank=0)) == pytest.approx(
         0.4 + 0.4 * 2
@@ -295,7 +295,7 @@
     )
 
 
-def test_wait_follows_the_pace_at_which_pieces_leave():
+def test_wait_follows_the_observed_throughput():
     batcher = new_batcher()
     servers = [server('s')]
     now = 0.0
@@ -312,17 +312,17 @@
     )
 
 
-def test_client_that_came_back_goes_after_all_that_ask_for_the_first_time():
+def test_retrying_client_is_served_after_all_first_attempts():
     """With a service short of servers and clients that retry after refusals, this order
     gains 0.05 of the total value (standard error 0.01)."""
     batcher = new_batcher()
-    batcher.add(job('back', pieces=2, rank=0, returned=True), 0)
-    batcher.add(job('cheap', pieces=2, rank=2), 0)
+    batcher.add(job('retry', pieces=2, rank=0, returned=True), 0)
+    batcher.add(job('low', pieces=2, rank=2), 0)
     call = batcher.next_call([server('s')], SPEC, 0)
-    assert requests_of(call) == ['cheap', 'cheap', 'back', 'back']
+    assert requests_of(call) == ['low', 'low', 'retry', 'retry']
 
 
-def test_wait_of_a_client_that_came_back_counts_what_will_overtake_it():
+def test_wait_of_a_retrying_client_counts_expected_arrivals():
     """With more first attempts than the servers can handle, clients that retry would
     otherwise wait without ever being served, which costs 0.14 of the total value."""
     batcher = new_batcher()
@@ -335,12 +335,12 @@
             batcher.call_ended(call)
     first = batcher.wait_estimate(servers, SPEC, 10).wait_s(Precedence(rank=1))
     back = batcher.wait_estimate(servers, SPEC, 10).wait_s(Precedence(rank=0, returned=True))
-    batcher.add(job('back', rank=0, returned=True, due=12), 10)
+    batcher.add(job('retry', rank=0, returned=True, due=12), 10)
     assert back >= first
     assert batcher.wait_estimate(servers, SPEC, 10).wait_s(Precedence(rank=0, returned=True)) > 4
 
 
-def test_late_pieces_are_given_up_while_others_fill_the_next_calls():
+def test_late_pieces_are_shed_while_others_fill_the_next_calls():
     batcher = new_batcher()
     servers = [server('s')]
     batcher.add(job('late', pieces=2, due=0.1), 0)
@@ -351,7 +351,7 @@
     assert {piece.job.attempt_id for piece in batcher.pieces_to_shed(servers, SPEC, 0)} == {'late'}
 
 
-def test_what_is_begun_is_finished_though_it_is_late():
+def test_started_job_is_finished_though_it_is_late():
     batcher = new_batcher()
     servers = [server('s')]
     batcher.add(job('late', pieces=6, due=0.1), 0)
@@ -360,15 +360,15 @@
     assert batcher.pieces_to_shed(servers, SPEC, 0.2) == []
 
 
-def test_client_that_came_back_is_given_up_when_its_turn_comes_after_its_limit():
+def test_retrying_client_is_shed_when_its_wait_exceeds_its_limit():
     batcher = new_batcher()
     servers = [server('s')]
     for number in range(20):
         batcher.add(job(f'r{number}', pieces=4), 0)
-    batcher.add(job('hopeless', returned=True, due=1.0), 0)
+    batcher.add(job('unmeetable', returned=True, due=1.0), 0)
     batcher.add(job('has time', returned=True, due=1e6), 0)
     assert {piece.job.attempt_id for piece in batcher.pieces_to_shed(servers, SPEC, 0)} == {
-        'hopeless'
+        'unmeetable'
     }
 
 
@@ -406,7 +406,7 @@
     assert not any(batcher.capacity.used_bytes.values())
 
 
-def test_giving_up_costs_one_look_at_all_that_waits(monkeypatch):
+def test_shedding_scans_the_queue_once(monkeypatch):
     """With 400 queued pieces, half of them of retrying clients, a scan of the queue for
     each piece took 5.9 ms per decision instead of 0.1 ms; on 0.4 of a core the owner of
     a service then became unreachable for other gateways."""
@@ -421,14 +421,16 @@
     assert len(looks) == 1
 
 
-def test_what_no_call_can_make_in_time_is_not_begun_but_given_up_at_once():
+def test_unmeetable_pieces_are_shed_at_once_and_never_started():
     """Guards against an overloaded owner that runs pieces whose results come after their
     deadline, so that these make other pieces late as well."""
     batcher = new_batcher()
     servers = [server('s')]
-    batcher.add(job('vain', pieces=2, due=-4.9), 0)
+    batcher.add(job('unmeetable', pieces=2, due=-4.9), 0)
     batcher.add(job('late', pieces=2, due=-1), 0)
-    assert {piece.job.attempt_id for piece in batcher.pieces_to_shed(servers, SPEC, 0)} == {'vain'}
+    assert {piece.job.attempt_id for piece in batcher.pieces_to_shed(servers, SPEC, 0)} == {
+        'unmeetable'
+    }
     assert requests_of(batcher.next_call(servers, SPEC, 0)) == ['late', 'late']
 
 
@@ -466,7 +468,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 2), st.booleans()), max_size=20))
-def test_outlook_counts_for_all_what_is_counted_for_each(arrivals):
+def test_wait_estimate_equals_a_scan_per_precedence(arrivals):
     """Compares with a reference implementation that scans the queue per precedence."""
     batcher = new_batcher()
     servers = [server('x'), server('y')]
--- a/tests/test_gateway/test_stages/test_stages_client.py
+++ b/tests/test_gateway/test_stages/test_stages_client.py
@@ -17,7 +17,7 @@
 CROPS = ServiceName('crops')
 
 
-class Owner:
+class FakeOwner:
     """Fake owner that reports how long pieces wait, or can't be reached."""
 
     def __init__(self, waits=None):
@@ -39,8 +39,8 @@
 
 
 @pytest.mark.parametrize(('age_s', 'asked'), [(0.1, 0), (0.2, 1), (None, 1)])
-def test_owner_is_asked_when_its_word_is_old(age_s, asked):
-    owner = Owner({0: 300, 1: 900})
+def test_owner_is_asked_when_its_report_is_old(age_s, asked):
+    owner = FakeOwner({0: 300, 1: 900})
     pieces = pieces_of(owner)
     if age_s is not None:
         at = pieces.clock.now() - age_s
@@ -51,14 +51,14 @@
     assert pieces.wait_s(CROPS, Precedence(rank=2)) == 0.9
 
 
-def test_owner_out_of_reach_leaves_the_wait_unknown():
-    pieces = pieces_of(Owner())
+def test_wait_is_unknown_while_the_owner_is_unreachable():
+    pieces = pieces_of(FakeOwner())
     asyncio.run(pieces.refresh_waits({CROPS}))
     assert pieces.wait_s(CROPS, Precedence(rank=0)) == 0
 
 
-def test_own_batches_are_not_asked_for():
-    owner = Owner({})
+def test_own_waits_are_not_requested():
+    owner = FakeOwner({})
     pieces = pieces_of(owner, address='')
     asyncio.run(pieces.refresh_waits({CROPS}))
     assert not owner.asked
--- a/tests/test_gateway/test_stages/test_stages_graph.py
+++ b/tests/test_gateway/test_stages/test_stages_graph.py
@@ -21,11 +21,11 @@
 CROPS = ServiceName('crops')
 
 
-class RecordedPieces:
+class FakePieceClient:
     """Runs pieces at once, and records the order in which stages started."""
 
     def __init__(self, fault_at=None):
-        self.begun = []
+        self.started = []
         self.ended = []
         self.zones = {}
         self.waits = {}
@@ -34,7 +34,7 @@
         self.fault_at = fault_at
 
     async def run(self, job):
-        self.begun.append((job.stage, tuple(self.ended)))
+        self.started.append((job.stage, tuple(self.ended)))
         self.zones[job.stage] = job.zone
         self.jobs[job.stage] = job
         await asyncio.sleep(0)
@@ -53,16 +53,16 @@
         return self.waits.get(service, 0)
 
 
-class EndlessPieces(RecordedPieces):
+class HangingPieceClient(FakePieceClient):
     """Never completes one of the stages."""
 
-    def __init__(self, *, endless, fault_at):
+    def __init__(self, *, hanging, fault_at):
         super().__init__(fault_at=fault_at)
-        self.endless = endless
+        self.hanging = hanging
         self.cancelled = []
 
     async def run(self, job):
-        if job.stage != self.endless:
+        if job.stage != self.hanging:
             return await super().run(job)
         try:
             return await asyncio.get_running_loop().create_future()
@@ -106,17 +106,17 @@
     )
 
 
-def begun(stages, counts):
-    pieces = RecordedPieces()
+def run_stages(stages, counts):
+    pieces = FakePieceClient()
     run = run_of(stages, counts, pieces)
     assert asyncio.run(run.run()) is None
-    return dict(pieces.begun), run
+    return dict(pieces.started), run
 
 
-def test_short_branch_begins_with_the_last_stages_of_the_long_one():
+def test_short_branch_starts_with_the_last_stages_of_the_long_one():
     """Guards against large results that wait for three further stages and fill up the
     capacity of their servers."""
-    order, run = begun([stage(), stage(), stage(1), stage(2)], [1, 1, 1, 1])
+    order, run = run_stages([stage(), stage(), stage(1), stage(2)], [1, 1, 1, 1])
     assert order[0] == (1, 2)
     assert run.inputs() == ('a:1/0-0', 'a:1/3-0')
 
@@ -126,21 +126,21 @@
     [([1, 1, 0, 0], ()), ([1, 0, 0, 0], ()), ([8, 1, 1, 1], (1, 2)), ([1, 1, 1, 1], (1, 2))],
 )
 def test_branch_waits_only_for_a_longer_one(counts, ended):
-    order, _ = begun([stage(), stage(), stage(1), stage(2)], counts)
+    order, _ = run_stages([stage(), stage(), stage(1), stage(2)], counts)
     assert order[0] == ended
 
 
-def test_branch_that_feeds_the_longest_one_begins_at_once():
-    order, _ = begun([stage(), stage(), stage(0, 1)], [1, 4, 1])
+def test_branch_that_feeds_the_longest_one_starts_at_once():
+    order, _ = run_stages([stage(), stage(), stage(0, 1)], [1, 4, 1])
     assert order[0] == ()
     assert order[1] == ()
 
 
 def test_fault_of_the_long_branch_ends_the_short_one():
-    pieces = RecordedPieces(fault_at=1)
+    pieces = FakePieceClient(fault_at=1)
     run = run_of([stage(), stage(), stage(1), stage(2)], [1, 1, 1, 1], pieces)
     assert asyncio.run(run.run()).fault is PieceFault.error
-    assert [number for number, _ in pieces.begun] == [1]
+    assert [number for number, _ in pieces.started] == [1]
 
 
 @pytest.mark.parametrize(
@@ -154,17 +154,17 @@
         ([1000, 200_000], ['', 'home']),
     ],
 )
-def test_zone_is_asked_for_where_bytes_are_dear(sizes, zones):
-    pieces = RecordedPieces()
+def test_zone_is_preferred_only_for_large_transfers(sizes, zones):
+    pieces = FakePieceClient()
     run = run_of([stage(size=sizes[0]), stage(0, size=sizes[1])], [1, 1], pieces)
     assert asyncio.run(run.run()) is None
     assert [pieces.zones[number] for number in (0, 1)] == zones
 
 
-def test_results_that_were_given_up_in_part_are_made_again():
+def test_partly_released_results_are_recomputed():
     """Guards against incomplete inputs: the results of a stage that is short of capacity
     are released, and the final server gets those of the other stage alone."""
-    pieces = RecordedPieces()
+    pieces = FakePieceClient()
     run = run_of([stage(), RouteStage(service=ServiceName('other'))], [2, 1], pieces)
     assert asyncio.run(run.run()) is None
     assert run.has_all_inputs
@@ -181,10 +181,10 @@
     st.lists(st.integers(0, 3), min_size=4, max_size=4).filter(any),
     st.sets(st.integers(0, 3)),
 )
-def test_held_means_that_every_needed_result_is_there(counts, lost):
+def test_has_all_inputs_means_that_every_needed_result_is_there(counts, lost):
     """Compares with a reference: all pieces of all stages without successors."""
     stages = [stage(), stage(), stage(1), stage(2)]
-    run = run_of(stages, counts, RecordedPieces())
+    run = run_of(stages, counts, FakePieceClient())
     assert asyncio.run(run.run()) is None
     wanted = {
         number
@@ -197,8 +197,8 @@
     assert run.has_all_inputs == (not wanted & lost)
 
 
-def test_stages_leave_the_time_for_what_follows():
-    pieces = RecordedPieces()
+def test_stages_leave_time_for_their_successors():
+    pieces = FakePieceClient()
     run = run_of([stage(), stage(0, size=50_000), stage(1)], [4, 4, 4], pieces)
     assert asyncio.run(run.run()) is None
     call = SPEC.call_s + 4 * SPEC.piece_s
@@ -209,16 +209,16 @@
     assert pieces.jobs[2].expires == SPEC.keep_s - SPEC.call_s
 
 
-def test_stages_are_not_run_again_without_the_time():
-    pieces = RecordedPieces(fault_at=0)
+def test_stages_are_not_run_again_without_enough_time():
+    pieces = FakePieceClient(fault_at=0)
     pieces.fault = PieceFault.gone
     run = run_of([stage()], [1], pieces)
     run.clock.advance(run.work.deadline - 0.2)
     assert asyncio.run(run.run()).fault is PieceFault.gone
-    assert len(pieces.begun) == 1
+    assert len(pieces.started) == 1
 
 
-class HeldPieces(RecordedPieces):
+class GatedPieceClient(FakePieceClient):
     """Runs the pieces of the first stage only after the gate opens."""
 
     def __init__(self):
@@ -231,12 +231,12 @@
         return await super().run(job)
 
 
-def test_stage_is_never_asked_for_without_its_inputs():
+def test_stage_is_never_requested_without_its_inputs():
     """Guards against stages without inputs: if the client disconnects just as its first
     stage ends, the results are released before the next stage is requested."""
 
-    async def leave_as_the_first_stage_ends():
-        pieces = HeldPieces()
+    async def disconnect_as_the_first_stage_ends():
+        pieces = GatedPieceClient()
         run = run_of([stage(), stage(0)], [1, 1], pieces)
         running = asyncio.ensure_future(run.run())
         await asyncio.sleep(0.001)
@@ -249,19 +249,19 @@
         return pieces.jobs
 
     for steps in range(12):
-        jobs = asyncio.run(leave_as_the_first_stage_ends())
+        jobs = asyncio.run(disconnect_as_the_first_stage_ends())
         assert 1 not in jobs or jobs[1].inputs == ('a:1/0-0',), steps
 
 
-@pytest.mark.parametrize(('endless', 'fault_at'), [(0, 1), (1, 0)])
-def test_other_branches_are_given_up_once_a_stage_can_not_be_made(endless, fault_at):
+@pytest.mark.parametrize(('hanging', 'fault_at'), [(0, 1), (1, 0)])
+def test_other_branches_are_cancelled_once_a_stage_fails(hanging, fault_at):
     """If the service of one branch is short of servers, the other branch is useless.
 
     It is cancelled, so that its servers are free for other requests at once.
     """
-    pieces = EndlessPieces(endless=endless, fault_at=fault_at)
+    pieces = HangingPieceClient(hanging=hanging, fault_at=fault_at)
     pieces.fault = PieceFault.late
     run = run_of([stage(), stage()], [1, 1], pieces)
     assert asyncio.run(asyncio.wait_for(run.run(), 5)).fault is PieceFault.late
-    assert pieces.cancelled == [endless]
+    assert pieces.cancelled == [hanging]
     assert run.handles == {}
--- a/tests/test_gateway/test_stages/test_stages_scheduler.py
+++ b/tests/test_gateway/test_stages/test_stages_scheduler.py
@@ -82,7 +82,7 @@
     asyncio.run(run())
 
 
-def test_owner_that_answers_too_late_costs_sound_servers_nothing(key_file):
+def test_late_owner_does_not_count_against_healthy_servers(key_file):
     """Guards against calls that are sent locally once the deadline has passed, and whose
     timeouts then count as failures of healthy servers."""
 
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize('first', [refuse_full, hanging])
-def test_server_of_pieces_is_not_ejected_for_one_call(key_file, first):
+def test_stage_server_is_not_ejected_for_one_failed_call(key_file, first):
     """Guards against the ejection of healthy servers: while gateways are replaced, two of
     them call the same servers, and each takes refusals caused by the other's calls for
     failures; and packet loss delays single calls, which led to the ejection of two of
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize(
     ('first', 'silent'), [(hanging, True), (reset, False), (refuse_full, False)]
 )
-def test_server_is_silent_from_a_call_without_an_answer_to_its_next_answer(key_file, first, silent):
+def test_server_is_silent_from_an_unanswered_call_to_its_next_response(key_file, first, silent):
     async def run():
         place = {}
         seen = []
@@ -174,7 +174,7 @@
     asyncio.run(run())
 
 
-def test_owner_that_is_stopping_is_waited_for(key_file):
+def test_owner_that_is_shutting_down_is_awaited(key_file):
     async def run():
         script, calls = piece_worker(lambda: '')
         crops = ScriptedServer(script)
@@ -227,7 +227,7 @@
     asyncio.run(run())
 
 
-def test_piece_that_found_no_room_still_has_its_inputs(key_file):
+def test_piece_refused_for_lack_of_capacity_still_has_its_inputs(key_file):
     """Guards against running all stages again: a nearly full server refuses one piece of
     a call, and the piece's inputs have been released by then."""
 
@@ -371,7 +371,7 @@
     }
 
 
-def test_planned_stop_hands_back_what_is_still_in_stages(key_file):
+def test_shutdown_refuses_requests_that_are_still_in_stages(key_file):
     """Requests in stages that outlast the grace period of a shutdown would be cut off at
     its end. They are refused 1 s before it, so that their clients have 3 s or more to
     retry elsewhere."""
@@ -403,7 +403,7 @@
     return json.dumps(document).encode()
 
 
-def test_pieces_that_surely_fit_free_their_inputs_though_others_may_not():
+def test_inputs_of_pieces_that_certainly_fit_are_released_early():
     """A service whose calls nearly fill its servers follows one that is short of capacity.
 
     The inputs of a whole call were stored until its response, twice as long as needed, so
