--- a/ringseam/gateway/engines/placement.py
+++ b/ringseam/gateway/engines/placement.py
@@ -350,7 +350,10 @@
         )
         spare_s = query.objective_ms / MS_PER_S - first_event_s
         late = min(1, max(0, 1 - spare_s / _PREDICTION_SPREAD_S))
-        return late * LATE_VALUE_LOSS * response_value(query.priority) + first_event_s * _WAIT_COST_PER_S
+        return (
+            late * LATE_VALUE_LOSS * response_value(query.priority)
+            + first_event_s * _WAIT_COST_PER_S
+        )
 
     def _drop_expired(self, now: float) -> None:
         expired = [request for request, placed in self.requests.items() if placed.expires_at < now]
