--- a/bench/deciders.py
+++ b/bench/deciders.py
@@ -22,10 +22,10 @@
 import typer
 
 from ringseam.backends import BackendId, BackendReport, BackendView, GatewayState
-from ringseam.gateway.following.guard import Guard
-from ringseam.gateway.following.health import HealthBook
+from ringseam.gateway.following.guard import QuarantineGuard
+from ringseam.gateway.following.health import HealthTracker
 from ringseam.gateway.following.ownership import Ownership
-from ringseam.gateway.following.pacing import Pace
+from ringseam.gateway.following.pacing import Pacer
 from ringseam.gateway.stages.client import PieceClient
 from ringseam.gateway.stages.messages import PieceRequest, ReleaseRequest, WaitsRequest
 from ringseam.gateway.stages.scheduler import PieceScheduler
@@ -106,15 +106,15 @@
             follower=follower,
             calls=self,
             retries=WindowRetries(),
-            guard=Guard(
+            guard=QuarantineGuard(
                 node=self.node,
                 client=self,
                 follower=follower,
-                health=HealthBook(),
+                health=HealthTracker(),
                 pool=None,
             ),
             ownership=Ownership(follower=follower, name='g0'),
-            pace=Pace(name='g0'),
+            pace=Pacer(name='g0'),
         )
         self.pieces = PieceClient(
             clock=self.clock,
@@ -198,7 +198,7 @@
         self.table = RouteTable(services={SERVICE: service})
         self.view = BackendView()
         self.quarantine = QuarantineSnapshot(version=0)
-        self.in_touch = True
+        self.is_connected = True
         for number in range(servers):
             report = BackendReport(
                 instance=BackendId(f'i{number}'),
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -22,7 +22,7 @@
 QUARANTINE = 'tests/test_quarantine.py'
 ORDERS = 'tests/test_control/test_control_zonedraining.py'
 ZONES = 'tests/test_gateway/test_following/test_following_zones.py'
-COLDNESS = 'tests/test_gateway/test_following/test_following_coldness.py'
+COLDNESS = 'tests/test_gateway/test_following/test_following_coldservers.py'
 REGIONS = 'tests/test_gateway/test_requests/test_requests_regions.py'
 
 
@@ -69,14 +69,14 @@
     Mutation(
         'requests to a cold server are not spaced',
         'ringseam/gateway/following/pacing.py',
-        'self.last_at[instance] = max(at, self.last_at.get(instance, at))',
+        'self.last_send_at[instance] = max(at, self.last_send_at.get(instance, at))',
         'pass',
         COLDNESS,
     ),
     Mutation(
         'servers of a restored zone count as warm',
         'ringseam/gateway/following/follower.py',
-        'self._note_restored(restored)',
+        'self._mark_zones_cold(restored)',
         'pass',
         COLDNESS,
     ),
@@ -293,21 +293,21 @@
     Mutation(
         'a reset counts as the end of a server',
         'ringseam/gateway/following/ends.py',
-        '        channel.close()\n        return Answer.listens\n',
-        '        channel.close()\n        return Answer.refused\n',
+        '        channel.close()\n        return ProbeResult.listens\n',
+        '        channel.close()\n        return ProbeResult.refused\n',
         GUARD,
     ),
     Mutation(
         'a run on trial whose server ended goes on elsewhere',
         'ringseam/gateway/following/guard.py',
-        "        return self.ended_at.get(content, float('-inf')) < trial_at\n",
+        "        return self.last_crash_at.get(content, float('-inf')) < trial_at\n",
         '        return True\n',
         GUARD,
     ),
     Mutation(
         'an end that the leader has not heard is forgotten',
         'ringseam/gateway/following/ends.py',
-        'if not seen.told and now',
+        'if not crash.acknowledged and now',
         'if False and now',
         'tests/test_gateway/test_following/test_following_ends.py',
     ),
--- a/ringseam/gateway/engines/client.py
+++ b/ringseam/gateway/engines/client.py
@@ -30,9 +30,9 @@
     from ringseam.backends import BackendReport
     from ringseam.gateway.engines.placement import Placement
     from ringseam.gateway.following.follower import Follower
-    from ringseam.gateway.following.health import HealthBook
+    from ringseam.gateway.following.health import HealthTracker
     from ringseam.gateway.following.ownership import Ownership
-    from ringseam.gateway.following.turns import Turns
+    from ringseam.gateway.following.turns import PermitAllocator
     from ringseam.gateway.requestcontext import RequestContext
     from ringseam.node import Node
     from ringseam.routes import BackendService
@@ -69,9 +69,9 @@
         node: Node,
         client: CallClient,
         follower: Follower,
-        health: HealthBook,
+        health: HealthTracker,
         ownership: Ownership,
-        turns: Turns,
+        turns: PermitAllocator,
     ) -> None:
         """Start without knowledge of cached prompts."""
         self.node = node
@@ -81,7 +81,7 @@
         self.health = health
         self.ownership = ownership
         self.turns = turns
-        self.pace = turns.pace
+        self.pace = turns.pacer
         self.placers: dict[str, Placer] = {}
         self.tasks = TaskSet()
         #: Until when owners that didn't reply are not called, by address.
@@ -138,7 +138,7 @@
     async def serve_place(self, received: Received) -> PlaceReply:
         """Place a request for another gateway."""
         query: PlaceRequest = received.body
-        self.turns.learn(query.limits)
+        self.turns.merge_limits(query.limits)
         choice = self._place_here(query)
         if choice is None:
             return PlaceReply()
@@ -172,14 +172,14 @@
             now = self.clock.now()
             instance = choice.engine.instance
             self._placer(service.name).record(query, instance, service, now)
-            self.pace.sent(instance, now + choice.wait_s)
+            self.pace.record_send(instance, now + choice.wait_s)
 
     def _is_limited(self, server: BackendReport) -> bool:
         return self.turns.limits.of(server.instance) is not None
 
     def _accepts_work(self, server: BackendReport) -> bool:
         """Return whether a server accepts new requests from this gateway."""
-        paused = self.pace.pauses.left_s(server.instance, self.clock.now())
+        paused = self.pace.pauses.remaining_s(server.instance, self.clock.now())
         return not paused and self.follower.is_serving(server)
 
     def _record_wait(self, work: RequestContext, choice: EngineChoice | None) -> None:
@@ -187,7 +187,7 @@
         if choice is not None and choice.engine is not None:
             work.available_in_s = 0
             return
-        end_s = self.pace.pauses.first_end_s(self._paused(work), self.clock.now())
+        end_s = self.pace.pauses.earliest_end_s(self._paused(work), self.clock.now())
         permit_s = choice.wait_s if choice else 0
         work.available_in_s = min((wait_s for wait_s in (end_s, permit_s) if wait_s), default=0)
 
@@ -221,7 +221,7 @@
             dry=dry,
             account=work.suspect.account,
             zones=None if work.allowed_zones is None else tuple(work.allowed_zones),
-            limits=self.turns.told(
+            limits=self.turns.limit_reports(
                 server.instance for server in self.follower.view.serving(work.service)
             ),
         )
@@ -301,7 +301,7 @@
     def _eject(self, instance: BackendId) -> None:
         now = self.clock.now()
         if now >= self.health.of(instance).ejected_until:
-            self.health.failed(instance, now, hard=True)
+            self.health.record_failure(instance, now, hard=True)
 
     def _placer(self, service: str) -> Placer:
         if service not in self.placers:
--- a/ringseam/gateway/engines/messages.py
+++ b/ringseam/gateway/engines/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ringseam.gateway.following.turnmessages import ToldLimit
+from ringseam.gateway.following.permitmessages import LimitReport
 from ringseam.messages import Empty, Message
 from ringseam.rpc import Method
 
@@ -38,7 +38,7 @@
     #: Availability zones in which the request may run; None: all.
     zones: Optional[tuple[str, ...]] = None
     #: The rate limits of servers that the asking gateway knows.
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[LimitReport, ...] = ()
 
 
 class PlaceReply(Message, frozen=True, kw_only=True, omit_defaults=True):
--- a/ringseam/gateway/engines/placement.py
+++ b/ringseam/gateway/engines/placement.py
@@ -15,7 +15,7 @@
 
 from ringseam.clock import MS_PER_S
 from ringseam.gateway.engines.prefixcache import PrefixCache
-from ringseam.gateway.following.pacing import longest_wait_s
+from ringseam.gateway.following.pacing import max_wait_s
 from ringseam.gateway.priorities import LATE_VALUE_LOSS, response_value
 
 if TYPE_CHECKING:
@@ -23,8 +23,8 @@
 
     from ringseam.backends import BackendId, BackendReport
     from ringseam.gateway.engines.messages import PlaceRequest, PromptPart
-    from ringseam.gateway.following.health import HealthBook
-    from ringseam.gateway.following.pacing import Pace
+    from ringseam.gateway.following.health import HealthTracker
+    from ringseam.gateway.following.pacing import Pacer
     from ringseam.routes import BackendService
 
 #: Assumed prefill rate of an engine, prompt tokens per second.
@@ -90,8 +90,8 @@
 class Placer:
     """Place requests on the engines of one service."""
 
-    health: HealthBook
-    pace: Pace
+    health: HealthTracker
+    pace: Pacer
     caches: dict[BackendId, PrefixCache] = field(default_factory=dict)
     requests: dict[str, PlacedRequest] = field(default_factory=dict)
     #: The same requests by engine, in order of arrival.
@@ -139,7 +139,7 @@
         equal = [candidate for candidate in candidates if candidate.cost == least]
         best = min(equal, key=lambda candidate: _tie_break_key(query, candidate.engine))
         if not query.dry:
-            self.pace.take(best.engine.instance, service.cold, now, peers=peers)
+            self.pace.reserve(best.engine.instance, service.cold, now, peers=peers)
             self.record(query, best.engine.instance, service, now)
         return best
 
@@ -226,9 +226,11 @@
     ) -> float:
         """Return how long a request must wait for an engine; infinite: it may not use it."""
         limit_wait_s = self.pace.limit_wait_s(engine.instance, now, peers=peers)
-        if limit_wait_s > longest_wait_s(query.priority):
+        if limit_wait_s > max_wait_s(query.priority):
             return float('inf')
-        return max(limit_wait_s, self.pace.wait_s(engine.instance, service.cold, now, peers=peers))
+        return max(
+            limit_wait_s, self.pace.cold_wait_s(engine.instance, service.cold, now, peers=peers)
+        )
 
     def _select_engines(
         self,
--- a/ringseam/gateway/following/coldness.py
+++ b/ringseam/gateway/following/coldservers.py
@@ -17,21 +17,21 @@
 
 
 @dataclass(kw_only=True)
-class ColdBook:
+class ColdServers:
     """Until when backend servers have said that they are cold."""
 
     until: dict[BackendId, float] = field(default_factory=dict)
     #: Since when servers are heard; one that became cold before may not say so again.
-    heard_since: float = float('-inf')
+    observed_since: float = float('-inf')
 
-    def note(self, instance: BackendId, until: float) -> None:
+    def mark_cold(self, instance: BackendId, until: float) -> None:
         """Take a server for cold at least until then."""
         if until > self.until.get(instance, float('-inf')):
             self.until[instance] = until
 
     def cold_until(self, instance: BackendId, spec: ColdSpec) -> float:
         """Return until when a server is cold, or may be."""
-        return max(self.until.get(instance, float('-inf')), self.heard_since + spec.length_s)
+        return max(self.until.get(instance, float('-inf')), self.observed_since + spec.length_s)
 
     def keep_only(self, instances: set[BackendId]) -> None:
         """Forget servers that are gone."""
--- a/ringseam/gateway/following/documentfetch.py
+++ b/ringseam/gateway/following/documentfetch.py
@@ -21,21 +21,21 @@
 _SLOWEST_BYTES_PER_S = 160_000.0
 #: Besides its bytes, a part may take this long, seconds: a host that is busy
 #: elections or with a change of its own answers within that.
-_PART_S = 0.6
+_PART_OVERHEAD_S = 0.6
 
 
-class DocumentFetch:
-    """Collect the parts of one change; what was collected outlives a lost host."""
+class DocumentFetcher:
+    """Collect the parts of one change; what was received_bytes outlives a lost host."""
 
     def __init__(self, *, client: CallClient) -> None:
-        """Begin with nothing collected."""
+        """Begin with nothing received_bytes."""
         self.client = client
         #: Whether its owner waits for one; there is one at a time.
-        self.under_way = False
+        self.is_running = False
         self.number = 0
         #: The document against which the change was made; 0: against nothing.
-        self.held = 0
-        self.collected = b''
+        self.base_number = 0
+        self.received_bytes = b''
 
     async def run(
         self,
@@ -50,34 +50,36 @@
         """
         if self.number != number:
             self.number = number
-            self._restart(held[0])
+            self._reset(held[0])
         for host in hosts:
-            if await self._collect(host):
+            if await self._fetch_rest(host):
                 return self._decode(held)
         return None
 
-    def _restart(self, held: int) -> None:
-        self.held = held
-        self.collected = b''
+    def _reset(self, held: int) -> None:
+        self.base_number = held
+        self.received_bytes = b''
 
-    async def _collect(self, host: str) -> bool:
+    async def _fetch_rest(self, host: str) -> bool:
         """Collect what is left at one host; False when it doesn't give it."""
-        total = len(self.collected) + 1
-        while len(self.collected) < total:
-            part = await self._ask(host)
+        total = len(self.received_bytes) + 1
+        while len(self.received_bytes) < total:
+            part = await self._fetch_part(host)
             if part is None:
                 return False
-            if part.held != self.held:
+            if part.held != self.base_number:
                 # It doesn't hold the document in force here, so it sends all.
-                self._restart(part.held)
+                self._reset(part.held)
                 continue
             total = part.total
-            self.collected += part.part
+            self.received_bytes += part.part
         return True
 
-    async def _ask(self, host: str) -> DocumentPart | None:
-        request = PartRequest(number=self.number, held=self.held, offset=len(self.collected))
-        limit_s = _PART_S + PART_BYTES / _SLOWEST_BYTES_PER_S
+    async def _fetch_part(self, host: str) -> DocumentPart | None:
+        request = PartRequest(
+            number=self.number, held=self.base_number, offset=len(self.received_bytes)
+        )
+        limit_s = _PART_OVERHEAD_S + PART_BYTES / _SLOWEST_BYTES_PER_S
         try:
             received = await self.client.call(host, DOCUMENT_PART, request, timeout_s=limit_s)
         except UnreachableError as error:
@@ -87,16 +89,16 @@
         return reply if isinstance(reply, DocumentPart) else None
 
     def _decode(self, held: tuple[int, bytes]) -> bytes | None:
-        """Return the document that the collected parts make."""
+        """Return the document that the received_bytes parts make."""
         number, document = held
-        usable = self.held in {0, number}
-        collected = self.collected
-        before = document if self.held else b''
-        self._restart(0)
-        if not usable:
+        base_matches = self.base_number in {0, number}
+        received_bytes = self.received_bytes
+        base = document if self.base_number else b''
+        self._reset(0)
+        if not base_matches:
             return None
         try:
-            return decode_change(before, collected)
+            return decode_change(base, received_bytes)
         except DocumentError as error:
             logger.warning('document %s fetched again: %s', self.number, error)
             return None
--- a/ringseam/gateway/following/follower.py
+++ b/ringseam/gateway/following/follower.py
@@ -14,9 +14,9 @@
 from ringseam.errors import FindingsError, UnreachableError
 from ringseam.events import Event
 from ringseam.following import CONFIRM, WATCH, Confirmation, WatchNews, WatchRequest
-from ringseam.gateway.following.coldness import ColdBook
+from ringseam.gateway.following.coldservers import ColdServers
 from ringseam.gateway.following.confinement import Confinement
-from ringseam.gateway.following.documentfetch import DocumentFetch
+from ringseam.gateway.following.documentfetch import DocumentFetcher
 from ringseam.platform.manifest import decode_manifest
 from ringseam.quarantinemessages import QuarantineSnapshot
 from ringseam.routes import RouteTable
@@ -39,18 +39,18 @@
 #: this long, seconds: one without power would hold the search up.
 _SEARCH_TIMEOUT_S = 0.4
 #: Pause after a host that couldn't tell the leader, seconds.
-_PAUSE_S = 0.1
+_RETRY_DELAY_S = 0.1
 _CONFIRM_S = 1.0
 
 
 @dataclass(kw_only=True)
-class HeldDirectory:
+class DirectoryCursor:
     """What a gateway holds of the leader's directory of servers."""
 
     #: The change up to which it is known.
     since: int = 0
     #: The epoch in which servers that are missing from it were dropped.
-    pruned: str = ''
+    pruned_in_epoch: str = ''
 
 
 class Follower:
@@ -73,9 +73,9 @@
         #: The document that the table was read from.
         self.document = b''
         #: The newest document that a leader has told of, and when.
-        self.heard = 0
-        self.heard_at = node.clock.now()
-        self.fetch = DocumentFetch(client=client)
+        self.newest_number = 0
+        self.newest_seen_at = node.clock.now()
+        self.fetcher = DocumentFetcher(client=client)
         self.tasks = TaskSet()
         self.view = BackendView()
         self.gateways: tuple[GatewayState, ...] = ()
@@ -83,14 +83,14 @@
         #: Contents that end servers, as the leader has told.
         self.quarantine = QuarantineSnapshot(version=0)
         self.confinement = Confinement()
-        self.coldness = ColdBook()
-        self.held = HeldDirectory()
+        self.cold_servers = ColdServers()
+        self.cursor = DirectoryCursor()
         self.leader = ''
         self.draining = False
         self.busy = False
-        self.in_touch = False
+        self.is_connected = False
         #: Set, and replaced, with each news.
-        self.news_taken = asyncio.Event()
+        self.update_event = asyncio.Event()
 
     @property
     def state(self) -> GatewayState:
@@ -155,41 +155,41 @@
 
     async def run(self) -> None:
         """Follow whoever leads."""
-        turn = 0
+        next_index = 0
         while True:  # noqa: WPS457 - ends with the role
             address = self.leader
             if not address:
-                address = self.addresses[turn % len(self.addresses)]
-                turn += 1
+                address = self.addresses[next_index % len(self.addresses)]
+                next_index += 1
             if not await self._watch(address):
-                await asyncio.sleep(_PAUSE_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
 
-    def take(self, news: WatchNews) -> None:
+    def apply(self, news: WatchNews) -> None:
         """Take in what is newer."""
-        if news.number > self.heard:
-            self.heard = news.number
-            self.heard_at = self.node.clock.now()
-        self._take_zones(news.zones)
+        if news.number > self.newest_number:
+            self.newest_number = news.number
+            self.newest_seen_at = self.node.clock.now()
+        self._apply_zones(news.zones)
         if not self.epoch and not self.view.backends:
-            self.coldness.heard_since = self.node.clock.now()
+            self.cold_servers.observed_since = self.node.clock.now()
         for report in news.reports:
-            self._take_report(report)
+            self._apply_report(report)
         for instance in news.silent:
             self.view.remove(instance)
-        self._take_quarantine(news)
+        self._apply_quarantine(news)
         self.epoch = news.epoch
-        self.held.since = news.upto
-        if news.warm and self.held.pruned != news.epoch:
+        self.cursor.since = news.upto
+        if news.warm and self.cursor.pruned_in_epoch != news.epoch:
             self._prune(news)
         self.gateways = news.gateways
         if news.control:
             self.addresses = list(news.control)
-        self._tell_change()
-        if self.heard > self.table.number and not self.fetch.under_way:
-            self.fetch.under_way = True
+        self._notify_change()
+        if self.newest_number > self.table.number and not self.fetcher.is_running:
+            self.fetcher.is_running = True
             self.tasks.spawn(self._fetch_newest())
 
-    async def take_document(self, document: bytes) -> None:
+    async def apply_document(self, document: bytes) -> None:
         """Serve by a document if it is newer, and confirm it."""
         try:
             table = decode_manifest(document)
@@ -197,7 +197,7 @@
             # It was checked before it was accepted, so this is a fault of ours;
             # the routes of before stay, and it isn't fetched over and over.
             logger.error('accepted document can not be read: %s', error)
-            self.heard = self.table.number
+            self.newest_number = self.table.number
             return
         if table.number <= self.table.number:
             return
@@ -208,12 +208,12 @@
             Event.document_in_force,
             number=table.number,
             document_bytes=len(document),
-            waited_ms=round((self.node.clock.now() - self.heard_at) * MS_PER_S),
+            waited_ms=round((self.node.clock.now() - self.newest_seen_at) * MS_PER_S),
         )
-        self._tell_change()
+        self._notify_change()
         await self._confirm()
 
-    async def await_routes(self, limit_s: float) -> None:
+    async def wait_for_routes(self, limit_s: float) -> None:
         """Return once there are routes, or after ``limit_s``.
 
         A process that has just started has them within an election; a client
@@ -222,37 +222,37 @@
         try:
             async with asyncio.timeout(limit_s):
                 while not self.table.number:
-                    await self.news_taken.wait()
+                    await self.update_event.wait()
         except asyncio.TimeoutError:
             logger.debug('no routes after %s s', limit_s)
 
     async def _watch(self, address: str) -> bool:
-        followed = self.in_touch and address == self.leader
+        is_current = self.is_connected and address == self.leader
         request = WatchRequest(
             gateway=self.state,
             # Without an epoch the leader answers at once.
-            epoch=self.epoch if followed else '',
-            since=self.held.since if followed else 0,
+            epoch=self.epoch if is_current else '',
+            since=self.cursor.since if is_current else 0,
             number=self.table.number,
-            heard=self.heard if followed else 0,
-            quarantine=self.quarantine.version if followed else 0,
+            heard=self.newest_number if is_current else 0,
+            quarantine=self.quarantine.version if is_current else 0,
             zones=self.view.drained.change,
         )
-        limit_s = _WATCH_TIMEOUT_S if followed else _SEARCH_TIMEOUT_S
+        limit_s = _WATCH_TIMEOUT_S if is_current else _SEARCH_TIMEOUT_S
         try:
             received = await self.client.call(address, WATCH, request, timeout_s=limit_s)
         except UnreachableError as error:
-            self._lose(address, str(error))
+            self._mark_disconnected(address, str(error))
             return False
         reply = received.body.reply
         if isinstance(reply, WatchNews):
-            self._note_touch(address)
-            self.take(reply)
+            self._mark_connected(address)
+            self.apply(reply)
             return True
         self.leader = reply.leader
         return bool(reply.leader)
 
-    def _take_quarantine(self, news: WatchNews) -> None:
+    def _apply_quarantine(self, news: WatchNews) -> None:
         """Hold to the leader's verdicts.
 
         A leader that has just begun may lack the last ones of the one before; until it
@@ -262,20 +262,20 @@
             return
         held = news.quarantine
         if news.epoch != self.epoch and not news.warm:
-            both = {**self.quarantine.quarantined, **held.quarantined}
-            held = msgspec.structs.replace(held, quarantined=both)
+            merged = {**self.quarantine.quarantined, **held.quarantined}
+            held = msgspec.structs.replace(held, quarantined=merged)
         self.quarantine = held
         self.confinement.keep_only(held.confined)
 
-    def _take_report(self, report: BackendReport) -> None:
+    def _apply_report(self, report: BackendReport) -> None:
         if self.view.apply(report) and report.cold_left_s:
-            self.coldness.note(report.instance, self.node.clock.now() + report.cold_left_s)
+            self.cold_servers.mark_cold(report.instance, self.node.clock.now() + report.cold_left_s)
 
-    def _take_zones(self, zones: DrainedZones) -> None:
+    def _apply_zones(self, zones: DrainedZones) -> None:
         restored = set(self.view.drained.names) - set(zones.names)
         if not self.view.drain_zones(zones):
             return
-        self._note_restored(restored)
+        self._mark_zones_cold(restored)
         self.node.events.emit(
             logger,
             Event.zones_in_force,
@@ -283,18 +283,18 @@
             change=zones.change,
         )
 
-    def _note_restored(self, zones: set[str]) -> None:
+    def _mark_zones_cold(self, zones: set[str]) -> None:
         """Take the servers of zones that are used again for cold: they may have started."""
         now = self.node.clock.now()
         for report in self.view.backends.values():
             service = self.table.services.get(report.service)
             if report.zone in zones and service is not None and service.cold is not None:
-                self.coldness.note(report.instance, now + service.cold.length_s)
+                self.cold_servers.mark_cold(report.instance, now + service.cold.length_s)
 
     def _prune(self, news: WatchNews) -> None:
         """Drop what a directory that is complete doesn't have."""
         if news.whole:
-            self.held.pruned = news.epoch
+            self.cursor.pruned_in_epoch = news.epoch
             self.view.keep_only({report.instance for report in news.reports})
         else:
             self.epoch = ''
@@ -302,21 +302,21 @@
     async def _fetch_newest(self) -> None:
         """Fetch documents until the newest that was heard of is in force."""
         try:
-            while self.heard > self.table.number:
-                number = self.heard
-                document = await self.fetch.run(
-                    self._hosts(),
+            while self.newest_number > self.table.number:
+                number = self.newest_number
+                document = await self.fetcher.run(
+                    self._document_hosts(),
                     number=number,
                     held=(self.table.number, self.document),
                 )
                 if document is None:
-                    await asyncio.sleep(_PAUSE_S)
+                    await asyncio.sleep(_RETRY_DELAY_S)
                 else:
-                    await self.take_document(document)
+                    await self.apply_document(document)
         finally:
-            self.fetch.under_way = False
+            self.fetcher.is_running = False
 
-    def _hosts(self) -> list[str]:
+    def _document_hosts(self) -> list[str]:
         """Return where documents are, the leader first."""
         others = [address for address in self.addresses if address != self.leader]
         return [self.leader, *others] if self.leader else others
@@ -332,20 +332,20 @@
             # The next watch says it too.
             logger.debug('not confirmed: %s', error)
 
-    def _tell_change(self) -> None:
+    def _notify_change(self) -> None:
         self.on_change()
-        self.news_taken.set()
-        self.news_taken = asyncio.Event()
+        self.update_event.set()
+        self.update_event = asyncio.Event()
 
-    def _note_touch(self, address: str) -> None:
-        if not self.in_touch or self.leader != address:
+    def _mark_connected(self, address: str) -> None:
+        if not self.is_connected or self.leader != address:
             self.node.events.emit(logger, Event.control_reached, address=address)
-        self.in_touch = True
+        self.is_connected = True
         self.leader = address
 
-    def _lose(self, address: str, detail: str) -> None:
+    def _mark_disconnected(self, address: str, detail: str) -> None:
         logger.debug('watch failed: %s', detail)
-        if self.in_touch:
+        if self.is_connected:
             self.node.events.emit(
                 logger,
                 Event.control_lost,
@@ -353,5 +353,5 @@
                 detail=detail,
                 number=self.table.number,
             )
-        self.in_touch = False
+        self.is_connected = False
         self.leader = ''
--- a/ringseam/gateway/following/guard.py
+++ b/ringseam/gateway/following/guard.py
@@ -14,7 +14,7 @@
 from ringseam.errors import UnreachableError
 from ringseam.events import Event
 from ringseam.evidence import EVIDENCE_RETENTION_S, RecentAnswers
-from ringseam.gateway.following.ends import ASK_S, EndReports
+from ringseam.gateway.following.ends import LEADER_CALL_S, CrashReporter
 from ringseam.messages import Redirect
 from ringseam.quarantine import Quarantine, TrialState
 from ringseam.quarantinemessages import (
@@ -31,7 +31,7 @@
     from ringseam.backends import BackendReport
     from ringseam.contents import ContentId
     from ringseam.gateway.following.follower import Follower
-    from ringseam.gateway.following.health import HealthBook
+    from ringseam.gateway.following.health import HealthTracker
     from ringseam.gateway.requestcontext import RequestContext
     from ringseam.node import Node
     from ringseam.rpc import CallClient
@@ -41,10 +41,10 @@
 
 #: A suspected content whose run is under way may come back after this, seconds: most
 #: runs take less, and its client loses little time.
-COME_BACK_S = 1.0
+RETRY_AFTER_S = 1.0
 
 
-class Guard:  # noqa: WPS214 - what a gateway sees and holds to
+class QuarantineGuard:  # noqa: WPS214 - what a gateway sees and holds to
     """Evidence of this gateway, and the verdicts it holds to."""
 
     def __init__(
@@ -53,7 +53,7 @@
         node: Node,
         client: CallClient,
         follower: Follower,
-        health: HealthBook,
+        health: HealthTracker,
         pool: ChannelPool,
     ) -> None:
         """Tell the leader that ``follower`` follows."""
@@ -63,86 +63,89 @@
         self.follower = follower
         self.served = RecentAnswers()
         #: What this gateway would judge by itself.
-        self.local = Quarantine()
+        self.local_quarantine = Quarantine()
         self.tasks = TaskSet()
         #: When suspected contents were last under way on a server that ended.
-        self.ended_at: dict[ContentId, float] = {}
-        self.ends = EndReports(
+        self.last_crash_at: dict[ContentId, float] = {}
+        self.crashes = CrashReporter(
             node=node,
             client=client,
             follower=follower,
             health=health,
             pool=pool,
             served=self.served,
-            on_end=self._note_end,
+            on_crash=self._on_crash,
         )
         #: The news and the leadership that were last looked at.
-        self.news = QuarantineSnapshot(version=0)
+        self.applied_news = QuarantineSnapshot(version=0)
         self.epoch = ''
 
     # -- what is sent and what becomes of it --------------------------------
 
-    def answered(self, server: BackendReport, content: ContentId) -> None:
-        """Hear that a server has answered a content with success: it bears it."""
+    def record_success(self, server: BackendReport, content: ContentId) -> None:
+        """Hear that a server has record_success a content with success: it bears it."""
         now = self.clock.now()
         self.served.record(content, server.software, now)
-        if content in self.local.evidence.crashes_by_content or self._is_told(content):
-            self.local.record_answer(content, server.software, now)
-            self.ends.forget_content(content, server.software)
-            self._tell_served(content, server.software)
+        if (
+            content in self.local_quarantine.evidence.crashes_by_content
+            or self._is_listed_by_leader(content)
+        ):
+            self.local_quarantine.record_answer(content, server.software, now)
+            self.crashes.clear_content(content, server.software)
+            self._report_served(content, server.software)
 
     # -- what may run -------------------------------------------------------
 
-    async def admit(self, work: RequestContext) -> TrialState:
+    async def admit(self, context: RequestContext) -> TrialState:
         """Return whether a request may be sent to a server now."""
-        content = work.content_id
+        content = context.content_id
         if self.is_quarantined(content):
             return TrialState.quarantined
-        if work.trial_at is not None:
-            if self._may_go_on(content, work.trial_at):
+        if context.trial_at is not None:
+            if self._is_trial_valid(content, context.trial_at):
                 return TrialState.granted
-            work.trial_at = None
-            await self._withdraw(content)
+            context.trial_at = None
+            await self._release_trial(content)
         if not self._is_suspected(content):
             return TrialState.granted
-        asked_at = self.clock.now()
-        state = await self._ask(content, max(0, work.deadline - asked_at))
+        requested_at = self.clock.now()
+        state = await self._request_trial(content, max(0, context.deadline - requested_at))
         if state is TrialState.granted:
-            work.trial_at = asked_at
+            context.trial_at = requested_at
         return state
 
-    def conclude(self, work: RequestContext) -> None:
+    def end_trial(self, context: RequestContext) -> None:
         """Hear that a run on trial has shown itself, or is over: another one may begin."""
-        if work.trial_at is not None:
-            work.trial_at = None
-            self.tasks.spawn(self._withdraw(work.content_id))
+        if context.trial_at is not None:
+            context.trial_at = None
+            self.tasks.spawn(self._release_trial(context.content_id))
 
-    def may_make(self, content: ContentId, *, trial_at: float | None) -> bool:
+    def may_process_pieces(self, content: ContentId, *, trial_at: float | None) -> bool:
         """Return whether pieces of a request may be made."""
         if self.is_quarantined(content):
             return False
         if trial_at is not None:
-            return self._may_go_on(content, trial_at)
+            return self._is_trial_valid(content, trial_at)
         return not self._is_suspected(content)
 
     def is_quarantined(self, content: ContentId) -> bool:
         """Return whether a content is known to end servers."""
         if content in self.follower.quarantine.quarantined:
             return True
-        return not self.follower.in_touch and content in self.local.verdicts
+        return not self.follower.is_connected and content in self.local_quarantine.verdicts
 
     # -- what the leader tells ----------------------------------------------
 
-    def see_news(self) -> None:
+    def apply_quarantine(self) -> None:
         """Take in what the follower has heard."""
         news = self.follower.quarantine
         # Empty while the whole directory is asked for: the leader is the same.
         if self.follower.epoch not in {'', self.epoch}:
             self.epoch = self.follower.epoch
-            self.ends.see_leader()
-        if news is self.news:
+            self.crashes.leader_changed()
+        if news is self.applied_news:
             return
-        for content in news.quarantined.keys() - self.news.quarantined.keys():
+        for content in news.quarantined.keys() - self.applied_news.quarantined.keys():
             self.node.events.emit(
                 logger,
                 Event.quarantine_in_force,
@@ -150,64 +153,67 @@
                 since_ms=news.quarantined[content],
                 version=news.version,
             )
-        self.news = news
+        self.applied_news = news
         now = self.clock.now()
         for known, software in list(self.served.answered_at):
             if known in news.suspects and self.served.contains(known, software, now):
-                self._tell_served(known, software)
+                self._report_served(known, software)
 
-    def judge(self) -> None:
+    def evaluate(self) -> None:
         """Judge by what was seen here, for times without a leader."""
         now = self.clock.now()
-        self.local.evaluate(now)
-        self.ends.look(now)
+        self.local_quarantine.evaluate(now)
+        self.crashes.tick(now)
         oldest = now - EVIDENCE_RETENTION_S
-        self.ended_at = {name: at for name, at in self.ended_at.items() if at > oldest}
+        self.last_crash_at = {name: at for name, at in self.last_crash_at.items() if at > oldest}
 
     # -- helpers ------------------------------------------------------------
 
-    def _may_go_on(self, content: ContentId, trial_at: float) -> bool:
+    def _is_trial_valid(self, content: ContentId, trial_at: float) -> bool:
         """Return whether no server has ended under a run on trial.
 
         One run is what was granted; a retry would cost another server, as the verdict
         falls a little later.
         """
-        return self.ended_at.get(content, float('-inf')) < trial_at
+        return self.last_crash_at.get(content, float('-inf')) < trial_at
 
-    def _note_end(self, end: ServerCrash, at: float) -> None:
-        self.local.record_crash(end, at)
+    def _on_crash(self, end: ServerCrash, at: float) -> None:
+        self.local_quarantine.record_crash(end, at)
         for suspect in end.suspects:
             if self._is_suspected(suspect.content):
-                self.ended_at[suspect.content] = at
+                self.last_crash_at[suspect.content] = at
 
-    def _is_told(self, content: ContentId) -> bool:
+    def _is_listed_by_leader(self, content: ContentId) -> bool:
         news = self.follower.quarantine
         return content in news.suspects or content in news.quarantined
 
     def _is_suspected(self, content: ContentId) -> bool:
-        return content in self.follower.quarantine.suspects or content in self.local.suspects
+        return (
+            content in self.follower.quarantine.suspects
+            or content in self.local_quarantine.suspects
+        )
 
-    async def _ask(self, content: ContentId, lasts_s: float) -> TrialState:
+    async def _request_trial(self, content: ContentId, duration_s: float) -> TrialState:
         """Ask for a run on trial; without a leader what was seen here decides."""
-        if self.follower.in_touch:
-            await self.ends.settle()
-            return await self._ask_leader(content, lasts_s)
-        return self.local.request_run(content, self.clock.now(), lasts_s)
+        if self.follower.is_connected:
+            await self.crashes.flush()
+            return await self._request_trial_from_leader(content, duration_s)
+        return self.local_quarantine.request_run(content, self.clock.now(), duration_s)
 
-    async def _withdraw(self, content: ContentId) -> None:
+    async def _release_trial(self, content: ContentId) -> None:
         """Let another run on trial begin."""
-        self.local.finish_trial(content)
-        if self.follower.in_touch:
-            await self._tell_over(content)
+        self.local_quarantine.finish_trial(content)
+        if self.follower.is_connected:
+            await self._send_trial_end(content)
 
-    async def _ask_leader(self, content: ContentId, lasts_s: float) -> TrialState:
-        request = TrialRequest(content=content, lasts_ms=int(lasts_s * MS_PER_S))
+    async def _request_trial_from_leader(self, content: ContentId, duration_s: float) -> TrialState:
+        request = TrialRequest(content=content, lasts_ms=int(duration_s * MS_PER_S))
         try:
             received = await self.client.call(
                 self.follower.leader,
                 TRIAL,
                 request,
-                timeout_s=ASK_S,
+                timeout_s=LEADER_CALL_S,
             )
         except UnreachableError as error:
             logger.debug('trial not asked: %s', error)
@@ -215,22 +221,24 @@
         reply = received.body.reply
         return TrialState.busy if isinstance(reply, Redirect) else TrialState(reply.state)
 
-    def _tell_served(self, content: ContentId, software: str) -> None:
+    def _report_served(self, content: ContentId, software: str) -> None:
         report = ServedReport(content=content, software=software)
-        self.tasks.spawn(self._tell_leader_served(report))
+        self.tasks.spawn(self._send_served_report(report))
 
-    async def _tell_leader_served(self, report: ServedReport) -> None:
-        if not self.follower.in_touch:
+    async def _send_served_report(self, report: ServedReport) -> None:
+        if not self.follower.is_connected:
             return
         try:
-            await self.client.call(self.follower.leader, REPORT_SERVED, report, timeout_s=ASK_S)
+            await self.client.call(
+                self.follower.leader, REPORT_SERVED, report, timeout_s=LEADER_CALL_S
+            )
         except UnreachableError as error:
             logger.debug('answer not told: %s', error)
 
-    async def _tell_over(self, content: ContentId) -> None:
+    async def _send_trial_end(self, content: ContentId) -> None:
         request = TrialRequest(content=content, over=True)
         try:
-            await self.client.call(self.follower.leader, TRIAL, request, timeout_s=ASK_S)
+            await self.client.call(self.follower.leader, TRIAL, request, timeout_s=LEADER_CALL_S)
         except UnreachableError as error:
             # The leader takes it for over at the request's deadline.
             logger.debug('end of a trial not told: %s', error)
--- a/ringseam/gateway/following/underway.py
+++ b/ringseam/gateway/following/inflight.py
@@ -11,19 +11,19 @@
 
 
 @dataclass(kw_only=True)
-class UnderWay:
+class InFlightRequests:
     """Requests that a server may have begun, by the server's lifetime."""
 
     by_server: dict[BackendId, dict[str, Suspect]] = field(default_factory=dict)
 
-    def sent(self, instance: BackendId, attempt: str, suspect: Suspect) -> None:
-        """Hear that a request is sent."""
-        self.by_server.setdefault(instance, {})[attempt] = suspect
+    def add(self, instance: BackendId, attempt_id: str, suspect: Suspect) -> None:
+        """Hear that a request is add."""
+        self.by_server.setdefault(instance, {})[attempt_id] = suspect
 
-    def over(self, instance: BackendId, attempt: str) -> None:
+    def remove(self, instance: BackendId, attempt_id: str) -> None:
         """Hear that a request has ended there, however it did."""
         attempts = self.by_server.get(instance, {})
-        attempts.pop(attempt, None)
+        attempts.pop(attempt_id, None)
         if not attempts:
             self.by_server.pop(instance, None)
 
@@ -31,7 +31,7 @@
         """Return what is under way on a server."""
         return set(self.by_server.get(instance, {}).values())
 
-    def take(self, instance: BackendId) -> set[Suspect]:
+    def pop_all(self, instance: BackendId) -> set[Suspect]:
         """Return what was under way on a server that has ended, once.
 
         A connection whose end is lost breaks seconds later; it is no second end.
--- a/ringseam/gateway/following/ownership.py
+++ b/ringseam/gateway/following/ownership.py
@@ -12,10 +12,10 @@
     from ringseam.gateway.following.follower import Follower
 
 #: Gateways that are behind are passed over while this share of all are not.
-_SHARE_IN_TIME = 0.5
+_MIN_RESPONSIVE_SHARE = 0.5
 #: A gateway that was an owner may have calls under way for this long after
 #: another took its place, seconds: two calls that wait at a server and their like.
-_SETTLING_S = 2.0
+_SETTLE_S = 2.0
 
 
 class Ownership:
@@ -52,7 +52,7 @@
         """Return the address of the deciding gateway; empty: this one."""
         self.refresh()
         if service not in self.owners:
-            self.owners[service] = self._work_out(service)
+            self.owners[service] = self._compute_owner(service)
         return self.owners[service]
 
     def is_settled(self, service: str, now: float) -> bool:
@@ -66,18 +66,18 @@
             if not self._is_sole(service):
                 return False
             self.sole_since[service] = now
-        return now >= self.sole_since[service] + _SETTLING_S
+        return now >= self.sole_since[service] + _SETTLE_S
 
     def _is_sole(self, service: str) -> bool:
         names = {state.name for state in self.gateways} | {self.name}
         return rendezvous(service, names) == self.name
 
-    def _work_out(self, service: str) -> str:
+    def _compute_owner(self, service: str) -> str:
         staying = [state for state in self.gateways if not state.draining]
-        in_time = [state for state in staying if not state.busy]
+        responsive = [state for state in staying if not state.busy]
         # While most are behind, another owner would be no better.
-        if len(in_time) >= _SHARE_IN_TIME * len(staying):
-            staying = in_time
+        if len(responsive) >= _MIN_RESPONSIVE_SHARE * len(staying):
+            staying = responsive
         if not staying:
             return ''
         addresses = {state.name: state.address for state in staying}
--- a/ringseam/gateway/following/pauses.py
+++ b/ringseam/gateway/following/pauses.py
@@ -12,27 +12,27 @@
 
 #: A server is tried again after this long, whatever it asked for, seconds: it can't shut
 #: itself out for good.
-_LONGEST_S = 300.0
+_MAX_PAUSE_S = 300.0
 
 
 @dataclass(kw_only=True)
-class PauseBook:
+class PauseTracker:
     """Until when servers want nothing from this gateway."""
 
     until: dict[BackendId, float] = field(default_factory=dict)
 
-    def heard(self, instance: BackendId, pause_s: float, now: float) -> None:
+    def record(self, instance: BackendId, pause_s: float, now: float) -> None:
         """Take in a pause; a shorter one doesn't end a longer one."""
-        until = now + min(pause_s, _LONGEST_S)
+        until = now + min(pause_s, _MAX_PAUSE_S)
         self.until[instance] = max(until, self.until.get(instance, until))
 
-    def left_s(self, instance: BackendId, now: float) -> float:
+    def remaining_s(self, instance: BackendId, now: float) -> float:
         """Return how long a server's pause still lasts, seconds; 0: it takes requests."""
         return max(0, self.until.get(instance, now) - now)
 
-    def first_end_s(self, instances: Collection[BackendId], now: float) -> float:
+    def earliest_end_s(self, instances: Collection[BackendId], now: float) -> float:
         """Return when the first of some servers takes requests, seconds from now."""
-        return min((self.left_s(instance, now) for instance in instances), default=0)
+        return min((self.remaining_s(instance, now) for instance in instances), default=0)
 
     def paused(self, now: float) -> set[BackendId]:
         """Return the servers whose pauses still last."""
--- a/ringseam/gateway/following/turnmessages.py
+++ b/ringseam/gateway/following/permitmessages.py
@@ -10,7 +10,7 @@
 from ringseam.rpc import Method
 
 
-class ToldLimit(Message, frozen=True, kw_only=True, omit_defaults=True):
+class LimitReport(Message, frozen=True, kw_only=True, omit_defaults=True):
     """What a server said last of its limit, and how long ago."""
 
     instance: BackendId
@@ -19,11 +19,11 @@
     age_ms: int = 0
 
 
-class TurnRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
+class PermitRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
     """A gateway asks for a turn at a server with a limit."""
 
     service: ServiceName
-    limit: ToldLimit
+    limit: LimitReport
     gateway: str
     #: How long the request may wait, milliseconds.
     longest_ms: int
@@ -31,14 +31,14 @@
     unheard: int = 0
 
 
-class TurnReply(Message, frozen=True, kw_only=True, omit_defaults=True):
+class PermitReply(Message, frozen=True, kw_only=True, omit_defaults=True):
     """When the turn is, or what is known better."""
 
     granted: bool = False
     #: How long until the turn, or until there may be one, seconds.
     wait_s: float = 0
     #: What the owner knows of the limit.
-    limit: Optional[ToldLimit] = None
+    limit: Optional[LimitReport] = None
 
 
-TURN = Method('/ringseam.Gateway/Turn', TurnRequest, TurnReply, multiplexed=True)
+PERMIT = Method('/ringseam.Gateway/Turn', PermitRequest, PermitReply, multiplexed=True)
--- a/ringseam/gateway/following/serverwords.py
+++ b/ringseam/gateway/following/serverwords.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from ringseam.events import Event
-from ringseam.gateway.following.limits import LimitBook
-from ringseam.gateway.following.pauses import PauseBook
+from ringseam.gateway.following.limits import RateLimitTracker
+from ringseam.gateway.following.pauses import PauseTracker
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendId, BackendView
@@ -18,7 +18,7 @@
 logger = logging.getLogger(__name__)
 
 
-class ServerWords:
+class ServerNotices:
     """Hear each answer's head, whatever the call was, and keep what it says."""
 
     def __init__(self, *, node: Node, metrics: Metrics, view: BackendView) -> None:
@@ -27,23 +27,23 @@
         self.clock = node.clock
         self.metrics = metrics
         self.view = view
-        self.limits = LimitBook()
-        self.pauses = PauseBook()
+        self.limits = RateLimitTracker()
+        self.pauses = PauseTracker()
         #: Servers that have said that they leave.
         self.leaving: set[BackendId] = set()
-        #: Servers whose unreadable words were logged.
-        self.unreadable: set[BackendId] = set()
+        #: Servers whose reported_unreadable words were logged.
+        self.reported_unreadable: set[BackendId] = set()
 
-    def heard(self, instance: BackendId, marks: AnswerMarks) -> None:
+    def record(self, instance: BackendId, marks: AnswerMarks) -> None:
         """Take in what an answer says of its server; empty: it isn't known which."""
         if not instance:
             return
         if marks.limit_unreadable:
-            self._note_unreadable(instance)
+            self._log_unreadable_limit(instance)
         else:
-            self._note_limit(instance, marks)
+            self._record_limit(instance, marks)
         if marks.pause_s is not None:
-            self._note_pause(instance, marks, marks.pause_s)
+            self._record_pause(instance, marks, marks.pause_s)
         if marks.leaving and instance not in self.leaving:
             self.leaving.add(instance)
             self.view.mark_leaving(instance)
@@ -59,16 +59,16 @@
         self.limits.keep_only(instances)
         self.pauses.keep_only(instances)
         self.leaving &= instances
-        self.unreadable &= instances
+        self.reported_unreadable &= instances
         self.metrics.put('servers_limited', self.limits.count)
         self.metrics.put('servers_paused', len(self.pauses.paused(self.clock.now())))
         self.metrics.put('servers_leaving', len(self.leaving))
 
     # -- helpers ------------------------------------------------------------
 
-    def _note_limit(self, instance: BackendId, marks: AnswerMarks) -> None:
+    def _record_limit(self, instance: BackendId, marks: AnswerMarks) -> None:
         was_limited = self.limits.of(instance) is not None
-        self.limits.heard(instance, marks.limit_per_s, self.clock.now())
+        self.limits.record(instance, marks.limit_per_s, self.clock.now())
         if was_limited == (marks.limit_per_s is not None):
             return
         event = Event.limit_ended if was_limited else Event.limit_named
@@ -80,11 +80,11 @@
             request=marks.attempt_id,
         )
 
-    def _note_pause(self, instance: BackendId, marks: AnswerMarks, pause_s: float) -> None:
+    def _record_pause(self, instance: BackendId, marks: AnswerMarks, pause_s: float) -> None:
         now = self.clock.now()
-        began = not self.pauses.left_s(instance, now)
-        self.pauses.heard(instance, pause_s, now)
-        if began and pause_s:
+        is_new = not self.pauses.remaining_s(instance, now)
+        self.pauses.record(instance, pause_s, now)
+        if is_new and pause_s:
             self.node.events.emit(
                 logger,
                 Event.pause_requested,
@@ -93,8 +93,8 @@
                 pause_s=pause_s,
             )
 
-    def _note_unreadable(self, instance: BackendId) -> None:
-        """Log an unreadable limit once; what the server said before it still holds."""
-        if instance not in self.unreadable:
-            self.unreadable.add(instance)
+    def _log_unreadable_limit(self, instance: BackendId) -> None:
+        """Log an reported_unreadable limit once; what the server said before it still holds."""
+        if instance not in self.reported_unreadable:
+            self.reported_unreadable.add(instance)
             self.node.events.emit(logger, Event.limit_unreadable, backend=instance)
--- a/ringseam/gateway/requests/attempts.py
+++ b/ringseam/gateway/requests/attempts.py
@@ -20,7 +20,7 @@
     from ringseam.backends import BackendReport
     from ringseam.gateway.engines.client import PlacementClient
     from ringseam.gateway.following.follower import Follower
-    from ringseam.gateway.following.guard import Guard
+    from ringseam.gateway.following.guard import QuarantineGuard
     from ringseam.gateway.requestcontext import RequestContext, TryOutcome
     from ringseam.gateway.requests.answers import Responder
     from ringseam.gateway.requests.sending import Sender
@@ -58,7 +58,7 @@
         placements: PlacementClient,
         retries: RetryPolicy,
         responder: Responder,
-        guard: Guard,
+        guard: QuarantineGuard,
     ) -> None:
         """Create an instance that sends through ``sender``."""
         self.clock = node.clock
@@ -111,7 +111,7 @@
             sends=context.tries.sends,
             last=relay.last_event,
         )
-        self.guard.ends.sent(server, context.request.attempt_id, context.suspect)
+        self.guard.crashes.request_sent(server, context.request.attempt_id, context.suspect)
         try:
             outcome = await self._send(context, server, relay)
         finally:
@@ -122,7 +122,7 @@
         self._log_refusal(context, server, outcome)
         # Only a success shows that the content ran: an error may precede the run.
         if isinstance(outcome, Answered) and outcome.head.status < _BAD_REQUEST:
-            self.guard.answered(server, context.content_id)
+            self.guard.record_success(server, context.content_id)
         return outcome
 
     async def _send(
@@ -137,12 +137,12 @@
         if isinstance(outcome, Answered):
             outcome = await self._forward_response(context, server, outcome, relay, started_at)
         if isinstance(outcome, Lost) and outcome.is_connection_loss:
-            await self.guard.ends.broke(server)
+            await self.guard.crashes.check_crash(server)
         return outcome
 
     def _end_attempt(self, context: RequestContext, server: BackendReport) -> None:
         """Record that a request is no longer in progress on a server."""
-        self.guard.ends.over(server, context.request.attempt_id)
+        self.guard.crashes.request_finished(server, context.request.attempt_id)
         if context.route.affinity:
             self.sender.silence.response_ended(server.instance, context.request.attempt_id)
             self.placements.ended(context)
@@ -183,7 +183,7 @@
         """
         if stages is not None:
             stages.release()
-        self.guard.conclude(context)
+        self.guard.end_trial(context)
         if context.route.affinity:
             self.placements.started(context)
 
@@ -230,8 +230,8 @@
             self._record_server_failure(context, server)
         else:
             now = self.clock.now()
-            self.health.succeeded(server.instance, now)
-            self.health.took(server.instance, now - started_at)
+            self.health.record_success(server.instance, now)
+            self.health.record_latency(server.instance, now - started_at)
         if relay.started or (status >= _SERVER_ERROR and self._can_retry_elsewhere(context)):
             return Lost(cause=LossCause.not_whole, detail=f'{server.address}: status {status}')
         await context.exchange.respond(status, client_headers(answered.head), body)
@@ -253,7 +253,7 @@
         )
         end = await relay.forward(answered)
         if end is StreamOutcome.complete:
-            self.health.succeeded(server.instance, self.clock.now())
+            self.health.record_success(server.instance, self.clock.now())
             await context.exchange.finish()
             self.responder.log_response(
                 context, answered.head.status, relay.first_event_at, relay.longest_gap
@@ -277,7 +277,7 @@
         return self.selector.has_alternative(context)
 
     def _record_server_failure(self, context: RequestContext, server: BackendReport) -> None:
-        if self.health.failed(server.instance, self.clock.now()):
+        if self.health.record_failure(server.instance, self.clock.now()):
             self.responder.log(context, Event.server_ejected, backend=server.instance)
 
     async def _send_final_response(
--- a/ringseam/gateway/requests/balancing.py
+++ b/ringseam/gateway/requests/balancing.py
@@ -10,7 +10,7 @@
     from collections.abc import Collection, Mapping
 
     from ringseam.backends import BackendId, BackendReport
-    from ringseam.gateway.following.health import HealthBook, Standing
+    from ringseam.gateway.following.health import HealthTracker, ServerHealth
 
 _NO_WAITS: Mapping[BackendId, float] = types.MappingProxyType({})
 #: Cost of sending to another availability zone, seconds: the round trip and the
@@ -29,7 +29,7 @@
 class BalancingPolicy(abc.ABC):
     """Base class of policies that choose a server for a request."""
 
-    def __init__(self, *, health: HealthBook, zone: str) -> None:
+    def __init__(self, *, health: HealthTracker, zone: str) -> None:
         """Create a policy that uses ``health``, for a gateway in ``zone``."""
         self.health = health
         self.zone = zone
@@ -81,7 +81,7 @@
         return float(server.zone != self.zone)
 
 
-def _reported_load(health: Standing, now: float) -> float:
-    if now - health.told_at > _REPORTED_LOAD_TTL_S:
+def _reported_load(health: ServerHealth, now: float) -> float:
+    if now - health.reported_at > _REPORTED_LOAD_TTL_S:
         return 0
-    return health.told_running + health.told_waiting
+    return health.reported_running + health.reported_waiting
--- a/ringseam/gateway/requests/forwarding.py
+++ b/ringseam/gateway/requests/forwarding.py
@@ -8,7 +8,7 @@
 
 from ringseam.contents import request_content_id
 from ringseam.events import Event
-from ringseam.gateway.following.guard import COME_BACK_S as SUSPECT_RETRY_AFTER_S
+from ringseam.gateway.following.guard import RETRY_AFTER_S as SUSPECT_RETRY_AFTER_S
 from ringseam.gateway.requestcontext import RequestContext
 from ringseam.gateway.requests.admission import FINAL_SERVER_S, Admission
 from ringseam.gateway.requests.answers import NOT_FOUND, UNAUTHORIZED
@@ -133,7 +133,7 @@
         limit_s = _MAX_ROUTES_WAIT_S
         if request.time_left_s is not None:
             limit_s = min(limit_s, _ROUTES_WAIT_SHARE * request.time_left_s)
-        await self.follower.await_routes(limit_s)
+        await self.follower.wait_for_routes(limit_s)
 
     def _create_context(
         self,
@@ -182,7 +182,7 @@
             if await self._admit_content(context):
                 await self._run(context)
         finally:
-            self.attempts.guard.conclude(context)
+            self.attempts.guard.end_trial(context)
 
     async def _admit_content(self, context: RequestContext) -> bool:
         """Return whether the content may be sent; if not, respond to the request."""
--- a/ringseam/gateway/requests/sending.py
+++ b/ringseam/gateway/requests/sending.py
@@ -18,8 +18,8 @@
     from ringseam.backends import BackendReport
     from ringseam.clock import Clock
     from ringseam.gateway.engines.silence import SilenceDetector
-    from ringseam.gateway.following.health import HealthBook
-    from ringseam.gateway.following.serverwords import ServerWords
+    from ringseam.gateway.following.health import HealthTracker
+    from ringseam.gateway.following.serverwords import ServerNotices
     from ringseam.gateway.requestcontext import RequestContext, TryOutcome
     from ringseam.web.client import Channel, ChannelPool, ResponseHead
 
@@ -39,10 +39,10 @@
         self,
         *,
         pool: ChannelPool,
-        health: HealthBook,
+        health: HealthTracker,
         silence: SilenceDetector,
         clock: Clock,
-        words: ServerWords,
+        words: ServerNotices,
     ) -> None:
         """Create a sender over ``pool`` that evaluates the headers of all responses."""
         self.pool = pool
@@ -71,7 +71,7 @@
                 server.address, timeout_s=min(CONNECT_TIMEOUT_S, left)
             )
         except ChannelError as error:
-            self.health.failed(server.instance, self.clock.now(), hard=True)
+            self.health.record_failure(server.instance, self.clock.now(), hard=True)
             return NotRun(detail=str(error))
         outcome: TryOutcome | None = None
         try:
@@ -110,7 +110,7 @@
                 cause=LossCause.timeout, detail=f'{server.address}: no response before the deadline'
             )
         except ChannelError as error:
-            self.health.failed(server.instance, self.clock.now(), hard=channel.uses == 1)
+            self.health.record_failure(server.instance, self.clock.now(), hard=channel.uses == 1)
             if not error.sent:
                 return NotRun(detail=str(error))
             return Lost(cause=LossCause.connection, detail=str(error))
@@ -138,7 +138,7 @@
             await channel.whole_body()
             channel.skip_answer()
         self.silence.data_received(server.instance, marks.attempt_id, self.clock.now(), event=False)
-        self.words.heard(server.instance, marks)
+        self.words.record(server.instance, marks)
         if marks.load is not None:
             self._record_load(server, marks.load.running, marks.load.waiting)
         if marks.not_run:
@@ -176,9 +176,9 @@
 
     def _record_load(self, server: BackendReport, running: int, waiting: int) -> None:
         health = self.health.of(server.instance)
-        health.told_running = running
-        health.told_waiting = waiting
-        health.told_at = self.clock.now()
+        health.reported_running = running
+        health.reported_waiting = waiting
+        health.reported_at = self.clock.now()
 
 
 def _is_success(head: ResponseHead) -> bool:
--- a/ringseam/gateway/requests/serverselection.py
+++ b/ringseam/gateway/requests/serverselection.py
@@ -5,13 +5,13 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from ringseam.gateway.following.pacing import longest_wait_s
+from ringseam.gateway.following.pacing import max_wait_s
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendReport
     from ringseam.clock import Clock
     from ringseam.gateway.following.follower import Follower
-    from ringseam.gateway.following.turns import Turn, Turns
+    from ringseam.gateway.following.turns import PermitAllocator, SendPermit
     from ringseam.gateway.requestcontext import RequestContext
     from ringseam.gateway.requests.balancing import BalancingPolicy
 
@@ -29,14 +29,14 @@
         *,
         clock: Clock,
         follower: Follower,
-        turns: Turns,
+        turns: PermitAllocator,
         policy: BalancingPolicy,
     ) -> None:
         """Create a selector that applies ``policy`` to the servers that ``turns`` allows."""
         self.clock = clock
         self.follower = follower
         self.turns = turns
-        self.pace = turns.pace
+        self.pace = turns.pacer
         self.policy = policy
 
     async def choose(self, context: RequestContext) -> BackendReport | None:
@@ -53,7 +53,9 @@
         """Return whether an untried server accepts requests now."""
         now = self.clock.now()
         pauses = self.pace.pauses
-        return any(not pauses.left_s(server.instance, now) for server in self._untried(context))
+        return any(
+            not pauses.remaining_s(server.instance, now) for server in self._untried(context)
+        )
 
     async def _select(
         self,
@@ -66,7 +68,7 @@
         cold = service.cold if service else None
         peers = self.follower.gateway_names
         waits = {
-            server.instance: self.pace.wait_s(server.instance, cold, now, peers=peers)
+            server.instance: self.pace.cold_wait_s(server.instance, cold, now, peers=peers)
             for server in servers
         }
         chosen = self.policy.choose(servers, now, waits)
@@ -78,16 +80,16 @@
             others = [server for server in servers if server.instance != chosen.instance]
             return await self._select(context, others)
         wait_s = max(turn.wait_s, waits[chosen.instance])
-        self.pace.sent(chosen.instance, now + wait_s)
+        self.pace.record_send(chosen.instance, now + wait_s)
         if wait_s:
             await asyncio.sleep(wait_s)
         return chosen
 
-    async def _request_permit(self, context: RequestContext, server: BackendReport) -> Turn:
+    async def _request_permit(self, context: RequestContext, server: BackendReport) -> SendPermit:
         """Request a send permit; it is granted at once if the server has no rate limit."""
         left_s = max(0, context.deadline - self.clock.now())
-        longest_s = min(longest_wait_s(context.route.priority), left_s)
-        return await self.turns.take(server, longest_s)
+        longest_s = min(max_wait_s(context.route.priority), left_s)
+        return await self.turns.acquire(server, longest_s)
 
     def _untried(self, context: RequestContext) -> list[BackendReport]:
         """Return the servers that the request has not been sent to."""
@@ -102,12 +104,13 @@
         """Return the servers that are not paused; store when the first pause ends."""
         now = self.clock.now()
         waits = {
-            server.instance: self.pace.pauses.left_s(server.instance, now) for server in servers
+            server.instance: self.pace.pauses.remaining_s(server.instance, now)
+            for server in servers
         }
         context.available_in_s = min((wait_s for wait_s in waits.values() if wait_s), default=0)
         return [server for server in servers if not waits[server.instance]]
 
     def _is_available(self, server: BackendReport) -> bool:
         """Return whether a server still accepts requests of this gateway."""
-        paused = self.pace.pauses.left_s(server.instance, self.clock.now())
+        paused = self.pace.pauses.remaining_s(server.instance, self.clock.now())
         return not paused and self.follower.is_serving(server)
--- a/ringseam/gateway/role.py
+++ b/ringseam/gateway/role.py
@@ -13,13 +13,13 @@
 from ringseam.gateway.engines.messages import PLACE, PROGRESS
 from ringseam.gateway.engines.silence import SilenceDetector
 from ringseam.gateway.following.follower import Follower
-from ringseam.gateway.following.guard import Guard
-from ringseam.gateway.following.health import HealthBook
-from ringseam.gateway.following.lag import LoopLag
+from ringseam.gateway.following.guard import QuarantineGuard
+from ringseam.gateway.following.health import HealthTracker
+from ringseam.gateway.following.lag import EventLoopLag
 from ringseam.gateway.following.ownership import Ownership
-from ringseam.gateway.following.pacing import Pace
-from ringseam.gateway.following.serverwords import ServerWords
-from ringseam.gateway.following.turns import Turns
+from ringseam.gateway.following.pacing import Pacer
+from ringseam.gateway.following.serverwords import ServerNotices
+from ringseam.gateway.following.turns import PermitAllocator
 from ringseam.gateway.requests.answers import Responder
 from ringseam.gateway.requests.attempts import AttemptRunner
 from ringseam.gateway.requests.forwarding import Forwarder
@@ -70,8 +70,8 @@
         self.node.adopts_group = False
         own = settings.own
         self.metrics = Metrics()
-        self.health = HealthBook()
-        self.lag = LoopLag()
+        self.health = HealthTracker()
+        self.lag = EventLoopLag()
         self.silence = SilenceDetector()
         self.pool = ChannelPool(clock=self.node.clock)
         self.retries = WindowRetries(
@@ -85,12 +85,12 @@
             addresses=cluster_addresses(own['seeds'], own['cluster_ports']),
             on_change=self._apply_changes,
         )
-        self.words = ServerWords(
+        self.words = ServerNotices(
             node=self.node,
             metrics=self.metrics,
             view=self.follower.view,
         )
-        self.guard = Guard(
+        self.guard = QuarantineGuard(
             node=self.node,
             client=self.client,
             follower=self.follower,
@@ -98,19 +98,19 @@
             pool=self.pool,
         )
         self.ownership = Ownership(follower=self.follower, name=self.node.name)
-        self.turns = Turns(
+        self.turns = PermitAllocator(
             node=self.node,
             client=self.client,
             follower=self.follower,
             ownership=self.ownership,
-            pace=Pace(
+            pacer=Pacer(
                 name=self.node.name,
-                book=self.follower.coldness,
+                cold_servers=self.follower.cold_servers,
                 health=self.health,
                 limits=self.words.limits,
                 pauses=self.words.pauses,
-                over=own['cold_over'],
-                slack=own['cold_slack'],
+                overload_factor=own['cold_over'],
+                burst_allowance=own['cold_slack'],
             ),
         )
         self.placements = PlacementClient(
@@ -128,7 +128,7 @@
             retries=self.retries,
             guard=self.guard,
             ownership=self.ownership,
-            pace=self.turns.pace,
+            pace=self.turns.pacer,
         )
         self.pieces = PieceClient(
             clock=self.node.clock,
@@ -217,7 +217,7 @@
             if report is not None and now >= self.health.of(instance).ejected_until:
                 self.placements.report_silent(report.service, instance)
                 self.node.events.emit(logger, Event.engine_silent, backend=instance)
-            self.guard.ends.fell_silent(instance, report)
+            self.guard.crashes.server_timed_out(instance, report)
             for request in self.silence.close_repeatable(instance):
                 self.silence.response_ended(instance, request)
 
@@ -227,7 +227,7 @@
         self.server.add(RELEASE, self.pieces.serve_release)
         self.server.add(PLACE, self.placements.serve_place)
         self.server.add(PROGRESS, self.placements.serve_progress)
-        self.turns.listen(self.server)
+        self.turns.register(self.server)
 
     async def _answer_probe(self, exchange: Exchange) -> None:
         path = exchange.request.path
@@ -243,7 +243,7 @@
         self.client_server.limits.body_bytes = limits.body_bytes
         self.client_server.limits.head_s = limits.head_s
         self.client_server.limits.idle_s = limits.idle_s
-        self.guard.see_news()
+        self.guard.apply_quarantine()
         held = self.follower.quarantine
         self.metrics.put('contents_quarantined', len(held.quarantined))
         self.metrics.put('contents_suspected', len(held.suspects))
@@ -259,7 +259,7 @@
             known = set(self.follower.view.backends)
             self.health.keep_only(known)
             self.placements.keep_only(known)
-            self.turns.pace.keep_only(known)
+            self.turns.pacer.keep_only(known)
             self.turns.keep_only(known)
             self.words.keep_only(known)
 
@@ -268,12 +268,12 @@
             due = self.node.clock.now() + _MONITOR_INTERVAL_S
             await asyncio.sleep(_MONITOR_INTERVAL_S)
             self._update_lag(self.node.clock.now() - due)
-            self.guard.judge()
+            self.guard.evaluate()
             self.abandon_silent_engines()
 
     def _update_lag(self, late_s: float) -> None:
         now = self.node.clock.now()
-        self.lag.note(late_s, now)
+        self.lag.record(late_s, now)
         busy = self.lag.is_busy(now)
         if busy != self.follower.busy:
             self.follower.busy = busy
--- a/ringseam/gateway/stages/batching.py
+++ b/ringseam/gateway/stages/batching.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ringseam.gateway.following.pacing import Pace
+from ringseam.gateway.following.pacing import Pacer
 from ringseam.gateway.stages.capacity import ResultCapacity
 from ringseam.gateway.stages.jobs import Piece, PieceGroup, StageCall
 from ringseam.gateway.stages.order import dispatch_order, may_leave_zone, overflow_pieces
@@ -25,7 +25,7 @@
     from collections.abc import Collection
 
     from ringseam.backends import BackendId, BackendReport
-    from ringseam.gateway.following.health import HealthBook
+    from ringseam.gateway.following.health import HealthTracker
     from ringseam.gateway.stages.jobs import PieceJob
     from ringseam.routes import BatchSpec, ServiceName
 
@@ -64,8 +64,8 @@
     """Decide which pieces are sent next, and to which server."""
 
     service: ServiceName
-    health: HealthBook
-    pace: Pace = field(default_factory=Pace)
+    health: HealthTracker
+    pace: Pacer = field(default_factory=Pacer)
     #: Queued pieces, in order of arrival.
     waiting: dict[Piece, None] = field(default_factory=dict)
     capacity: ResultCapacity = field(default_factory=ResultCapacity)
@@ -258,7 +258,7 @@
     def _server_preference(self, server: BackendReport, now: float) -> tuple[bool, float, int, str]:
         server_health = self.health.of(server.instance)
         return (
-            server_health.silent,
+            server_health.unresponsive,
             round(server_health.slowness_at(now), 1),
             self.capacity.used_bytes.get(server.instance, 0),
             server.instance,
@@ -303,7 +303,7 @@
             or (piece.job.zone not in idle_zones and may_leave_zone(piece, spec, now))
         ]
         late = [piece for piece in allowed if piece.job.due <= now]
-        if self.health.of(server.instance).silent:
+        if self.health.of(server.instance).unresponsive:
             eligible, late = eligible[-1:], late[-1:]
         return self._pieces_that_fit(eligible, server, spec, now) or self._pieces_that_fit(
             late, server, spec, now
@@ -348,7 +348,8 @@
         working = [
             server
             for server in servers
-            if self._is_healthy(server, now) and not self.pace.pauses.left_s(server.instance, now)
+            if self._is_healthy(server, now)
+            and not self.pace.pauses.remaining_s(server.instance, now)
         ]
         healthy = sum(self._usable_share(server, spec) for server in working)
         return self.throughput.pieces_per_s(healthy, spec)
@@ -356,7 +357,7 @@
     def _usable_share(self, server: BackendReport, spec: BatchSpec) -> float:
         """Return the fraction of its time that a server's announced rate limit lets it work."""
         limit = self.pace.limits.of(server.instance)
-        return 1 if limit is None else min(1, limit.pace_per_s * spec.whole_call_s / spec.slots)
+        return 1 if limit is None else min(1, limit.send_per_s * spec.whole_call_s / spec.slots)
 
     def _start_call(
         self,
@@ -366,7 +367,7 @@
         now: float,
     ) -> StageCall:
         self.cancel(pieces)
-        self.pace.sent(server.instance, now)
+        self.pace.record_send(server.instance, now)
         call = StageCall(
             server=server,
             pieces=pieces,
--- a/ringseam/gateway/stages/calls.py
+++ b/ringseam/gateway/stages/calls.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from ringseam.backends import BackendId
     from ringseam.clock import Clock
-    from ringseam.gateway.following.serverwords import ServerWords
+    from ringseam.gateway.following.serverwords import ServerNotices
     from ringseam.gateway.stages.jobs import (
         StageCall,
     )
@@ -38,7 +38,7 @@
 class PieceCalls:
     """Call stage servers over pooled connections."""
 
-    def __init__(self, *, pool: ChannelPool, clock: Clock, words: ServerWords) -> None:
+    def __init__(self, *, pool: ChannelPool, clock: Clock, words: ServerNotices) -> None:
         """Use the connections of ``pool``; ``words`` hears all answers."""
         self.pool = pool
         self.clock = clock
@@ -85,7 +85,7 @@
             raise
         self.pool.release(channel)
         marks = decode_marks(head)
-        self.words.heard(instance, marks)
+        self.words.record(instance, marks)
         if head.status != _OK:
             detail = f'{address}: status {head.status}'
             if head.status == _UNAVAILABLE and marks.not_run:
--- a/ringseam/gateway/stages/scheduler.py
+++ b/ringseam/gateway/stages/scheduler.py
@@ -33,9 +33,9 @@
 
     from ringseam.backends import BackendReport
     from ringseam.gateway.following.follower import Follower
-    from ringseam.gateway.following.guard import Guard
+    from ringseam.gateway.following.guard import QuarantineGuard
     from ringseam.gateway.following.ownership import Ownership
-    from ringseam.gateway.following.pacing import Pace
+    from ringseam.gateway.following.pacing import Pacer
     from ringseam.gateway.stages.calls import PieceCalls
     from ringseam.gateway.stages.jobs import (
         Piece,
@@ -82,9 +82,9 @@
         follower: Follower,
         calls: PieceCalls,
         retries: RetryPolicy,
-        guard: Guard,
+        guard: QuarantineGuard,
         ownership: Ownership,
-        pace: Pace,
+        pace: Pacer,
     ) -> None:
         """Use the servers that ``follower`` knows."""
         self.node = node
@@ -222,7 +222,9 @@
         quarantined = [
             piece
             for piece in call.pieces
-            if not self.guard.may_make(piece.job.suspect.content, trial_at=piece.job.trial_at)
+            if not self.guard.may_process_pieces(
+                piece.job.suspect.content, trial_at=piece.job.trial_at
+            )
         ]
         for piece in quarantined:
             state.batcher.remove_from_call(call, piece)
@@ -249,16 +251,16 @@
                 self._record_failure(state, call, outcome.kind)
             self._handle_failure(state, call, outcome.detail)
         else:
-            self.health.succeeded(call.server.instance, now)
+            self.health.record_success(call.server.instance, now)
             ratio = (now - started) / call.expected_s
-            self.health.compared(call.server.instance, ratio, now)
+            self.health.record_slowness(call.server.instance, ratio, now)
             self._handle_results(state, call, outcome, spec)
         self._dispatch(state.batcher.service)
 
     async def _attempt(self, call: StageCall, limit_s: float) -> list[PieceResult] | CallFailure:
         """Send a call and return its results or why it failed."""
         for piece in call.pieces:
-            self.guard.ends.sent(call.server, _piece_id(piece), piece.job.suspect)
+            self.guard.crashes.request_sent(call.server, _piece_id(piece), piece.job.suspect)
         try:
             async with asyncio.timeout(limit_s):
                 return await self.calls.run(call)
@@ -266,7 +268,7 @@
             return CallFailure(kind=CallFailureKind.full, detail=str(error))
         except ChannelError as error:
             if error.sent:
-                await self.guard.ends.broke(call.server)
+                await self.guard.crashes.check_crash(call.server)
             kind = CallFailureKind.broken if error.sent else CallFailureKind.unsent
             return CallFailure(kind=kind, detail=str(error))
         except (msgspec.MsgspecError, asyncio.TimeoutError) as error:
@@ -275,7 +277,7 @@
             return CallFailure(kind=kind, detail=f'{type(error).__name__} {error}')
         finally:
             for piece in call.pieces:
-                self.guard.ends.over(call.server, _piece_id(piece))
+                self.guard.crashes.request_finished(call.server, _piece_id(piece))
 
     def _record_failure(self, state: ServiceState, call: StageCall, kind: CallFailureKind) -> None:
         """Record a failed call in the health of its server.
@@ -289,10 +291,10 @@
             # It is busy with calls of another gateway, perhaps of one that has just gone.
             state.batcher.full_until[call.server.instance] = now + FULL_BACKOFF_S
         elif kind is CallFailureKind.unanswered:
-            self.health.fell_silent(call.server.instance, now)
+            self.health.record_timeout(call.server.instance, now)
         else:
             hard = kind is CallFailureKind.unsent
-            self.health.failed(call.server.instance, now, hard=hard)
+            self.health.record_failure(call.server.instance, now, hard=hard)
 
     def _release_fetched_inputs(
         self, state: ServiceState, call: StageCall, spec: BatchSpec
@@ -415,12 +417,12 @@
         instance = state.server_of(state.pending_releases[address])
         now = self.node.clock.now()
         if self.pace.limits.of(instance) is None:
-            return max(_RELEASE_BATCH_S, self.pace.pauses.left_s(instance, now))
+            return max(_RELEASE_BATCH_S, self.pace.pauses.remaining_s(instance, now))
         last_at = state.released_at.get(instance, float('-inf'))
-        pause_s = self.pace.pauses.left_s(instance, now)
+        pause_s = self.pace.pauses.remaining_s(instance, now)
         released_at = max(now + max(_RELEASE_BATCH_S, pause_s), last_at + _RELEASE_BATCH_LIMITED_S)
         state.released_at[instance] = released_at
-        self.pace.count(instance, released_at)
+        self.pace.record_requests(instance, released_at)
         return released_at - now
 
     # -- helpers ------------------------------------------------------------
--- a/ringseam/model/engines.py
+++ b/ringseam/model/engines.py
@@ -19,8 +19,8 @@
     from ringseam.backends import BackendReport
     from ringseam.clock import Clock
     from ringseam.gateway.engines.silence import SilenceDetector
-    from ringseam.gateway.following.health import HealthBook
-    from ringseam.gateway.following.serverwords import ServerWords
+    from ringseam.gateway.following.health import HealthTracker
+    from ringseam.gateway.following.serverwords import ServerNotices
     from ringseam.gateway.requestcontext import RequestContext, TryOutcome
     from ringseam.model.pattern import ServiceLoad
     from ringseam.model.stageservers import Results
@@ -240,8 +240,8 @@
     zone_s: float
     #: How many events a request is answered with.
     events_of: dict[str, int]
-    health: HealthBook
-    words: ServerWords
+    health: HealthTracker
+    words: ServerNotices
     pool: ModelPool = field(init=False)
 
     def __post_init__(self) -> None:
@@ -263,7 +263,7 @@
             return NotRun(detail='down')
         attempt = work.request.attempt_id
         if engine.saying.turns_away(engine.clock.now()):
-            self.words.heard(server.instance, engine.saying.marks(attempt, engine.clock.now()))
+            self.words.record(server.instance, engine.saying.marks(attempt, engine.clock.now()))
             return NotRun(detail='paused', refused_by_server=True, status=_UNAVAILABLE)
         if not await self.kept.fetch(work.inputs, server.zone):
             return NotRun(detail='input gone', refused_by_server=True, status=_CONFLICT)
@@ -281,7 +281,7 @@
         await asyncio.sleep(way_s)
         head = ResponseHead(status=_OK, headers=[('Content-Type', 'text/event-stream')])
         marks = engine.saying.marks(attempt, engine.clock.now())
-        self.words.heard(server.instance, marks)
+        self.words.record(server.instance, marks)
         # The channel stands in for one of the pool's.
         return Answered(head=head, marks=marks, channel=channel)  # type: ignore[arg-type]
 
--- a/ringseam/model/gateways.py
+++ b/ringseam/model/gateways.py
@@ -13,12 +13,12 @@
 from ringseam.gateway.engines.client import PlacementClient
 from ringseam.gateway.engines.messages import PLACE, PROGRESS
 from ringseam.gateway.engines.silence import SilenceDetector
-from ringseam.gateway.following.guard import Guard
-from ringseam.gateway.following.health import HealthBook
+from ringseam.gateway.following.guard import QuarantineGuard
+from ringseam.gateway.following.health import HealthTracker
 from ringseam.gateway.following.ownership import Ownership
-from ringseam.gateway.following.pacing import Pace
-from ringseam.gateway.following.serverwords import ServerWords
-from ringseam.gateway.following.turns import Turns
+from ringseam.gateway.following.pacing import Pacer
+from ringseam.gateway.following.serverwords import ServerNotices
+from ringseam.gateway.following.turns import PermitAllocator
 from ringseam.gateway.requests.answers import Responder
 from ringseam.gateway.requests.attempts import AttemptRunner
 from ringseam.gateway.requests.forwarding import Forwarder
@@ -67,7 +67,7 @@
         self.view = BackendView()
         self.gateways: tuple[GatewayState, ...] = ()
         self.quarantine = QuarantineSnapshot(version=0)
-        self.in_touch = True
+        self.is_connected = True
         self.leader = ''
         self.epoch = ''
 
@@ -87,7 +87,7 @@
         """Return whether a server takes new work."""
         return server in self.view.serving(server.service)
 
-    async def await_routes(self, limit_s: float) -> None:
+    async def wait_for_routes(self, limit_s: float) -> None:
         """Return: there always are routes."""
 
 
@@ -176,17 +176,17 @@
         )
         self.node = node
         self.links = links
-        self.health = HealthBook()
+        self.health = HealthTracker()
         self.follower: Any = ModelFollower(table=table)
         ownership = Ownership(follower=self.follower, name=name)
         client: Any = links
-        words = ServerWords(node=node, metrics=Metrics(), view=self.follower.view)
-        turns = Turns(
+        words = ServerNotices(node=node, metrics=Metrics(), view=self.follower.view)
+        turns = PermitAllocator(
             node=node,
             client=client,
             follower=self.follower,
             ownership=ownership,
-            pace=Pace(
+            pacer=Pacer(
                 name=name,
                 health=self.health,
                 limits=words.limits,
@@ -212,7 +212,7 @@
             health=self.health,
             words=words,
         )
-        self.guard = Guard(
+        self.guard = QuarantineGuard(
             node=node,
             client=client,
             follower=self.follower,
@@ -232,7 +232,7 @@
             retries=retries,
             guard=self.guard,
             ownership=ownership,
-            pace=turns.pace,
+            pace=turns.pacer,
         )
         self.pieces = PieceClient(
             clock=clock, client=client, scheduler=self.works, ownership=ownership
@@ -265,7 +265,7 @@
     def hold(self, news: QuarantineSnapshot) -> None:
         """Hear which contents end servers."""
         self.follower.quarantine = news
-        self.guard.see_news()
+        self.guard.apply_quarantine()
 
     def know(self, gateways: tuple[GatewayState, ...]) -> None:
         """Hear which gateways there are."""
@@ -279,7 +279,7 @@
         """Take calls of a method from other gateways."""
         self.links.handlers[self.node.address, method.path] = handler
 
-    def _listen(self, turns: Turns) -> None:
+    def _listen(self, turns: PermitAllocator) -> None:
         for method, handler in (
             (PIECES, self.pieces.serve_pieces),
             (WAITS, self.pieces.serve_waits),
@@ -289,4 +289,4 @@
         ):
             self.add(method, handler)
         listener: Any = self
-        turns.listen(listener)
+        turns.register(listener)
--- a/ringseam/model/stageservers.py
+++ b/ringseam/model/stageservers.py
@@ -18,7 +18,7 @@
 
     from ringseam.backends import BackendId, BackendReport
     from ringseam.clock import Clock
-    from ringseam.gateway.following.serverwords import ServerWords
+    from ringseam.gateway.following.serverwords import ServerNotices
     from ringseam.gateway.stages.jobs import Piece, StageCall
     from ringseam.model.pattern import ServiceLoad
 
@@ -166,7 +166,7 @@
     servers: dict[str, StageServer]
     zone: str
     zone_s: float
-    words: ServerWords
+    words: ServerNotices
 
     async def run(self, call: StageCall) -> list[PieceResult]:
         """Return the results of a call; see :class:`StageServer`."""
@@ -175,10 +175,10 @@
         await asyncio.sleep(way_s)
         instance = call.server.instance
         if server.saying.turns_away(server.clock.now()):
-            self.words.heard(instance, server.saying.marks('', server.clock.now()))
+            self.words.record(instance, server.saying.marks('', server.clock.now()))
             raise FullError('paused', sent=False)
         made = await server.run(call)
-        self.words.heard(instance, server.saying.marks('', server.clock.now()))
+        self.words.record(instance, server.saying.marks('', server.clock.now()))
         await asyncio.sleep(way_s)
         return made
 
--- a/tests/test_control/test_control_zonedraining.py
+++ b/tests/test_control/test_control_zonedraining.py
@@ -205,10 +205,10 @@
         await leader.service.zones.order(DRAIN)
         newer = (await leader.service.watch(received())).reply
         for told in (news, newer, news):
-            follower.take(told)
+            follower.apply(told)
         assert follower.view.drained.names == ('a',)
         await leader.service.zones.order(RESTORE)
-        follower.take((await leader.service.watch(received())).reply)
+        follower.apply((await leader.service.watch(received())).reply)
         assert follower.view.drained.names == ()
 
     asyncio.run(run())
--- a/tests/test_gateway/test_engines/test_engines_placement.py
+++ b/tests/test_gateway/test_engines/test_engines_placement.py
@@ -11,9 +11,9 @@
 from ringseam.backends import BackendId, BackendReport
 from ringseam.gateway.engines.messages import PlaceRequest, PromptPart
 from ringseam.gateway.engines.placement import PlacedRequest, Placer, _tie_break_key
-from ringseam.gateway.following.coldness import ColdBook
-from ringseam.gateway.following.health import HealthBook
-from ringseam.gateway.following.pacing import Pace
+from ringseam.gateway.following.coldservers import ColdServers
+from ringseam.gateway.following.health import HealthTracker
+from ringseam.gateway.following.pacing import Pacer
 from ringseam.routes import BackendService, EngineSpec, ServiceName
 
 #: The service that requests are placed for.
@@ -50,8 +50,8 @@
 
 
 def new_placer(kind=Placer):
-    health = HealthBook()
-    return kind(health=health, pace=Pace(book=ColdBook(), health=health))
+    health = HealthTracker()
+    return kind(health=health, pace=Pacer(cold_servers=ColdServers(), health=health))
 
 
 def chosen_engine(placer, request, service=LLM, now=0):
@@ -139,7 +139,7 @@
     chosen = chosen_engine(placer, place_request('r', avoid=('e1', 'e2')))
     assert chosen.instance == 'e3'
     assert chosen_engine(placer, place_request('r', avoid=('e1', 'e2', 'e3'))) is None
-    placer.health.failed(BackendId('e3'), 0, hard=True)
+    placer.health.record_failure(BackendId('e3'), 0, hard=True)
     assert chosen_engine(placer, place_request('q', avoid=('e2',))).instance == 'e1'
 
 
--- a/tests/test_gateway/test_following/test_following_coldness.py
+++ b/tests/test_gateway/test_following/test_following_coldservers.py
@@ -15,10 +15,10 @@
 from ringseam.following import WatchNews, WatchRequest
 from ringseam.gateway.engines.messages import PlaceRequest, PromptPart
 from ringseam.gateway.engines.placement import Placer
-from ringseam.gateway.following.coldness import ColdBook
+from ringseam.gateway.following.coldservers import ColdServers
 from ringseam.gateway.following.follower import Follower
-from ringseam.gateway.following.health import HealthBook
-from ringseam.gateway.following.pacing import Pace
+from ringseam.gateway.following.health import HealthTracker
+from ringseam.gateway.following.pacing import Pacer
 from ringseam.node import Node
 from ringseam.routes import BackendService, ColdSpec, EngineSpec, RouteTable, ServiceName
 from ringseam.rpc import CallClient
@@ -26,7 +26,7 @@
 
 COLD = ColdSpec(length_s=3, per_s=9)
 #: What a cold server bears in any second: 1.5 times its rate and 5 more.
-BOUND = 18.5
+MAX_PER_S = 18.5
 LLM = BackendService(
     name=ServiceName('llm'),
     health_path='/health',
@@ -34,12 +34,18 @@
     engine=EngineSpec(slots=128, cache_tokens=100_000),
     cold=COLD,
 )
-ONE = BackendId('e0')
+SERVER = BackendId('e0')
 
 
-def pace(name='g', **cold_until):
-    book = ColdBook(until={BackendId(name): until for name, until in cold_until.items()})
-    return Pace(name=name, book=book, health=HealthBook(), over=1.5, slack=5)
+def pacer(name='g', **cold_until):
+    cold_servers = ColdServers(until={BackendId(name): until for name, until in cold_until.items()})
+    return Pacer(
+        name=name,
+        cold_servers=cold_servers,
+        health=HealthTracker(),
+        overload_factor=1.5,
+        burst_allowance=5,
+    )
 
 
 def most_in_a_second(times):
@@ -60,8 +66,8 @@
     )
 
 
-def ask(number, dice):
-    session = f's{dice.randrange(4)}'
+def ask(number, rng):
+    session = f's{rng.randrange(4)}'
     parts = (PromptPart(name=session, tokens=4000), PromptPart(name=f'o{number}', tokens=500))
     return PlaceRequest(
         request=f'r{number}',
@@ -78,23 +84,23 @@
     st.floats(0, 3),
     st.integers(1, 40),
 )
-def test_no_second_has_more_than_a_cold_server_bears(gaps, turns_cold_at, deciders):
-    """It may turn cold unnoticed at any moment, and be told cold some time later."""
-    paces = [pace(name=f'g{number}', e0=turns_cold_at + 3) for number in range(deciders)]
-    peers = frozenset(each.name for each in paces)
+def test_no_second_has_more_than_a_cold_server_bears(gaps, turns_cold_at, gateways):
+    """It may turn cold unnoticed at any moment, and be news cold some time later."""
+    pacers = [pacer(name=f'g{number}', e0=turns_cold_at + 3) for number in range(gateways)]
+    peers = frozenset(each.name for each in pacers)
     now = 0.0
     sent = []
     for number, gap in enumerate(gaps):
         now += gap
-        one = paces[number % deciders]
+        one = pacers[number % gateways]
         if now >= turns_cold_at:
-            sent.append(now + one.take(ONE, COLD, now, peers=peers))
-    assert most_in_a_second(sent) <= BOUND
+            sent.append(now + one.reserve(SERVER, COLD, now, peers=peers))
+    assert most_in_a_second(sent) <= MAX_PER_S
 
 
 def test_server_of_a_service_without_such_a_time_is_never_held_back():
-    held = pace(e0=100)
-    assert [held.take(ONE, None, 0) for _ in range(100)] == [0] * 100
+    limited = pacer(e0=100)
+    assert [limited.reserve(SERVER, None, 0) for _ in range(100)] == [0] * 100
 
 
 @pytest.mark.parametrize('cold', [0, 14, 28])
@@ -105,18 +111,18 @@
     refused, and each can still be in time.
     """
     until = {f'e{number}': 3.0 for number in range(cold)}
-    placer = Placer(health=HealthBook(), pace=pace(**until))
+    placer = Placer(health=HealthTracker(), pace=pacer(**until))
     engines = [report(f'e{number}') for number in range(28)]
-    dice = random.Random(1)
+    rng = random.Random(1)
     sent = {}
     waits = []
     for number in range(200):
         now = number / 200
-        found = placer.place(ask(number, dice), engines, LLM, now)
+        found = placer.place(ask(number, rng), engines, LLM, now)
         assert found is not None
         sent.setdefault(found.engine.instance, []).append(now + found.wait_s)
         waits.append(found.wait_s)
-    assert max(map(most_in_a_second, sent.values())) <= BOUND
+    assert max(map(most_in_a_second, sent.values())) <= MAX_PER_S
     assert max(waits) < 1.2
 
 
@@ -124,36 +130,38 @@
     """Pattern: the owner is gone as a zone comes back; 30 gateways place by themselves."""
     engines = [report(f'e{number}') for number in range(4)]
     until = {f'e{number}': 3.0 for number in range(4)}
-    paces = [pace(name=f'g{number}', **until) for number in range(30)]
-    placers = [Placer(health=HealthBook(), pace=each) for each in paces]
-    peers = frozenset(each.name for each in paces)
-    dice = random.Random(1)
+    pacers = [pacer(name=f'g{number}', **until) for number in range(30)]
+    placers = [Placer(health=HealthTracker(), pace=each) for each in pacers]
+    peers = frozenset(each.name for each in pacers)
+    rng = random.Random(1)
     sent = {}
     for number in range(300):
         now = number / 300
         placer = placers[number % 30]
-        found = placer.place(ask(number, dice), engines, LLM, now, peers=peers)
+        found = placer.place(ask(number, rng), engines, LLM, now, peers=peers)
         if found is not None:
             sent.setdefault(found.engine.instance, []).append(now + found.wait_s)
-    assert max(map(most_in_a_second, sent.values())) <= BOUND
+    assert max(map(most_in_a_second, sent.values())) <= MAX_PER_S
 
 
 def test_share_follows_the_rate_that_a_service_names():
-    held = pace(name='g0', e0=100)
+    limited = pacer(name='g0', e0=100)
     peers = frozenset({'g0', 'g1'})
     faster = dataclasses.replace(COLD, per_s=18)
-    assert [held.take(ONE, COLD, 0, peers=peers) for _ in range(2)] == pytest.approx([0, 2 / 9])
-    held.keep_only({ONE})
-    assert held.take(ONE, faster, 0.5, peers=peers) == 0
-    assert held.take(ONE, faster, 0.5, peers=peers) == pytest.approx(2 / 18)
+    assert [limited.reserve(SERVER, COLD, 0, peers=peers) for _ in range(2)] == pytest.approx(
+        [0, 2 / 9]
+    )
+    limited.keep_only({SERVER})
+    assert limited.reserve(SERVER, faster, 0.5, peers=peers) == 0
+    assert limited.reserve(SERVER, faster, 0.5, peers=peers) == pytest.approx(2 / 18)
 
 
 def test_server_that_could_not_be_reached_is_taken_for_cold_when_it_is_back():
-    held = pace()
-    held.health.failed(ONE, 10, hard=True)
-    waits = [held.take(ONE, COLD, 12) for _ in range(3)]
+    limited = pacer()
+    limited.health.record_failure(SERVER, 10, hard=True)
+    waits = [limited.reserve(SERVER, COLD, 12) for _ in range(3)]
     assert waits == pytest.approx([0, 1 / 9, 2 / 9])
-    assert pace().take(ONE, COLD, 12) == 0
+    assert pacer().reserve(SERVER, COLD, 12) == 0
 
 
 def test_server_is_known_to_be_cold_by_all_that_follow():
@@ -167,7 +175,7 @@
     assert directory.news(request, 10).reports[0].cold_left_s == 1.0
 
 
-def told(**fields):
+def news(**fields):
     known = {'epoch': 'e', 'upto': 1, 'whole': True, 'warm': False}
     return WatchNews(**(known | fields))
 
@@ -180,13 +188,13 @@
         )
         follower.table = RouteTable(number=1, services={LLM.name: LLM})
         both = (report('e0', zone='a'), report('e1', zone='b'))
-        follower.take(told(reports=both, zones=DrainedZones(change=1, names=('a',))))
-        follower.coldness.heard_since = float('-inf')
+        follower.apply(news(reports=both, zones=DrainedZones(change=1, names=('a',))))
+        follower.cold_servers.observed_since = float('-inf')
         now = node.clock.now()
-        assert follower.coldness.cold_until(BackendId('e0'), COLD) <= now
-        follower.take(told(zones=DrainedZones(change=2)))
-        assert follower.coldness.cold_until(BackendId('e0'), COLD) > now + 2.9
-        assert follower.coldness.cold_until(BackendId('e1'), COLD) <= now + 0.1
+        assert follower.cold_servers.cold_until(BackendId('e0'), COLD) <= now
+        follower.apply(news(zones=DrainedZones(change=2)))
+        assert follower.cold_servers.cold_until(BackendId('e0'), COLD) > now + 2.9
+        assert follower.cold_servers.cold_until(BackendId('e1'), COLD) <= now + 0.1
 
     asyncio.run(run())
 
@@ -197,8 +205,8 @@
         follower = Follower(
             node=node, client=CallClient(node=node), addresses=('c1',), on_change=lambda: None
         )
-        follower.take(told(reports=(report('e0'),)))
+        follower.apply(news(reports=(report('e0'),)))
         now = node.clock.now()
-        assert now < follower.coldness.cold_until(BackendId('e0'), COLD) <= now + 3
+        assert now < follower.cold_servers.cold_until(BackendId('e0'), COLD) <= now + 3
 
     asyncio.run(run())
--- a/tests/test_gateway/test_following/test_following_documentfetch.py
+++ b/tests/test_gateway/test_following/test_following_documentfetch.py
@@ -8,7 +8,7 @@
 from ringseam.control.follow import FollowService, HeldDocument
 from ringseam.documents import PART_BYTES
 from ringseam.errors import UnreachableError
-from ringseam.gateway.following.documentfetch import DocumentFetch
+from ringseam.gateway.following.documentfetch import DocumentFetcher
 from ringseam.model.virtualtime import run_virtual
 from ringseam.node import Node
 from ringseam.sealing import Received
@@ -70,7 +70,7 @@
 
     async def main(clock):
         links = [SlowLink({'c1': leader}) for _ in range(20)]
-        fetches = [DocumentFetch(client=link) for link in links]
+        fetches = [DocumentFetcher(client=link) for link in links]
         got = await asyncio.gather(
             *(fetch.run(['c1'], number=7, held=(0, b'')) for fetch in fetches)
         )
@@ -88,7 +88,7 @@
 
     async def main(clock):
         link = SlowLink({'c1': host((7, whole))})
-        got = await DocumentFetch(client=link).run(['c1'], number=7, held=(0, b''))
+        got = await DocumentFetcher(client=link).run(['c1'], number=7, held=(0, b''))
         return got, len(link.calls), clock.now()
 
     got, calls, took_s = run_virtual(main)
@@ -103,7 +103,7 @@
     async def main(clock):
         holds = host((7, whole))
         link = SlowLink({'c1': holds, 'c2': holds}, lost_after={'c1': 3})
-        got = await DocumentFetch(client=link).run(['c1', 'c2'], number=7, held=(0, b''))
+        got = await DocumentFetcher(client=link).run(['c1', 'c2'], number=7, held=(0, b''))
         return got, link.calls
 
     got, calls = run_virtual(main)
@@ -116,7 +116,7 @@
 
     async def main(clock):
         link = SlowLink({'c1': host((7, before), (8, after))})
-        got = await DocumentFetch(client=link).run(['c1'], number=8, held=(7, before))
+        got = await DocumentFetcher(client=link).run(['c1'], number=8, held=(7, before))
         return got, link.bytes
 
     got, sent = run_virtual(main)
@@ -129,7 +129,7 @@
 
     async def main(clock):
         link = SlowLink({'c1': host((8, after))})
-        return await DocumentFetch(client=link).run(['c1'], number=8, held=(7, b'old'))
+        return await DocumentFetcher(client=link).run(['c1'], number=8, held=(7, b'old'))
 
     assert run_virtual(main) == after
 
@@ -139,7 +139,7 @@
 
     async def main(clock):
         link = SlowLink({'c1': host((7, b'old')), 'c2': host((8, after))})
-        return await DocumentFetch(client=link).run(['c1', 'c2'], number=8, held=(0, b''))
+        return await DocumentFetcher(client=link).run(['c1', 'c2'], number=8, held=(0, b''))
 
     assert run_virtual(main) == after
 
@@ -149,7 +149,7 @@
 
     async def main(clock):
         link = SlowLink({'c1': host((7, before), (8, after))})
-        fetch = DocumentFetch(client=link)
+        fetch = DocumentFetcher(client=link)
         first = await fetch.run(['c1'], number=8, held=(7, b'something else'))
         second = await fetch.run(['c1'], number=8, held=(7, b'something else'))
         return first, second
--- a/tests/test_gateway/test_following/test_following_ends.py
+++ b/tests/test_gateway/test_following/test_following_ends.py
@@ -15,13 +15,13 @@
 from ringseam.errors import UnreachableError
 from ringseam.evidence import SAME_CRASH_TOLERANCE_S, RecentAnswers
 from ringseam.gateway.following.ends import (
-    PROBE_PAUSE_S,
     PROBE_S,
-    PROBES_AGAIN,
-    UNTOLD_S,
-    EndReports,
+    REPORT_RETRY_S,
+    REPROBE_PAUSE_S,
+    REPROBES,
+    CrashReporter,
 )
-from ringseam.gateway.following.health import HealthBook
+from ringseam.gateway.following.health import HealthTracker
 from ringseam.lifetimes import BackendId
 from ringseam.messages import Redirect
 from ringseam.model.virtualtime import run_virtual
@@ -71,81 +71,81 @@
         return SimpleNamespace(body=answer)
 
 
-def reports_of(clock, pool, leader, on_end=lambda end, at: None):
-    return EndReports(
+def reporter_of(clock, pool, leader, on_crash=lambda end, at: None):
+    return CrashReporter(
         node=Node(name='g', role='gateway', address='', secret=b's', clock=clock),
         client=leader,
-        follower=SimpleNamespace(in_touch=True, leader='c1', epoch='e1'),
-        health=HealthBook(),
+        follower=SimpleNamespace(is_connected=True, leader='c1', epoch='e1'),
+        health=HealthTracker(),
         pool=pool,
         served=RecentAnswers(),
-        on_end=on_end,
+        on_crash=on_crash,
     )
 
 
-def broken(pool, leader, seconds=5):
-    """Return the clock's time when the retry may go on, and the reports, seconds later."""
+def run_crash_check(pool, leader, seconds=5):
+    """Return the clock's time when the retry may go on, and the reporter, seconds later."""
 
     async def main(clock):
-        reports = reports_of(clock, pool, leader)
-        reports.sent(SERVER, 'r1', SUSPECT)
-        await reports.broke(SERVER)
-        went_on = clock.now()
-        reports.over(SERVER, 'r1')
-        await passing(clock, reports, seconds)
-        return went_on, reports
+        reporter = reporter_of(clock, pool, leader)
+        reporter.request_sent(SERVER, 'r1', SUSPECT)
+        await reporter.check_crash(SERVER)
+        retried_at = clock.now()
+        reporter.request_finished(SERVER, 'r1')
+        await run_ticks(clock, reporter, seconds)
+        return retried_at, reporter
 
     return run_virtual(main)
 
 
-async def passing(clock, reports, seconds):
+async def run_ticks(clock, reporter, seconds):
     until = clock.now() + seconds
     while clock.now() < until:
         await asyncio.sleep(0.1)
-        reports.look(clock.now())
+        reporter.tick(clock.now())
 
 
-@pytest.mark.parametrize('lost', range(PROBES_AGAIN + 1))
+@pytest.mark.parametrize('lost', range(REPROBES + 1))
 def test_end_is_told_when_probes_are_lost(lost):
     leader = Leader(HEARD)
-    went_on, reports = broken(Pool(*['silent'] * lost, 'refused'), leader)
+    retried_at, reporter = run_crash_check(Pool(*['silent'] * lost, 'refused'), leader)
     ((end,),) = leader.ends
     assert end.suspects == (SUSPECT,)
     assert end.age_ms < SAME_CRASH_TOLERANCE_S * 1000
-    assert went_on < PROBE_S
-    assert not reports.doubted
+    assert retried_at < PROBE_S
+    assert not reporter.reprobing
 
 
 def test_host_that_stays_silent_is_blamed_for_nothing():
     pool = Pool('silent')
     leader = Leader(HEARD)
-    broken(pool, leader)
+    run_crash_check(pool, leader)
     assert not leader.ends
-    assert pool.asked == PROBES_AGAIN + 1
+    assert pool.asked == REPROBES + 1
 
 
 def test_server_that_answers_after_a_lost_probe_has_not_ended():
     leader = Leader(HEARD)
-    broken(Pool('silent', 'listens'), leader)
+    run_crash_check(Pool('silent', 'listens'), leader)
     assert not leader.ends
 
 
 def test_probes_of_one_end_are_over_before_another_may_be_told():
     """Gateways agree on the time of an end to SAME_CRASH_TOLERANCE_S; later it is another one."""
-    assert PROBES_AGAIN * (PROBE_PAUSE_S + PROBE_S) < SAME_CRASH_TOLERANCE_S
+    assert REPROBES * (REPROBE_PAUSE_S + PROBE_S) < SAME_CRASH_TOLERANCE_S
 
 
 def test_most_ends_are_seen_where_three_packets_in_ten_are_lost():
     """Of a request for a connection and its refusal both must pass."""
-    dice = random.Random(1)
+    rng = random.Random(1)
 
     def probe():
-        return 'refused' if min(dice.random(), dice.random()) > 0.3 else 'silent'
+        return 'refused' if min(rng.random(), rng.random()) > 0.3 else 'silent'
 
     told = 0
     for _ in range(400):
         leader = Leader(HEARD)
-        broken(Pool(*[probe() for _ in range(PROBES_AGAIN + 1)], 'silent'), leader, seconds=1)
+        run_crash_check(Pool(*[probe() for _ in range(REPROBES + 1)], 'silent'), leader, seconds=1)
         told += len(leader.ends)
     assert told / 400 > 0.9
 
@@ -157,11 +157,11 @@
 )
 def test_end_that_the_leader_has_not_heard_is_told_again(answer):
     leader = Leader(answer, HEARD)
-    _, reports = broken(Pool('refused'), leader)
+    _, reporter = run_crash_check(Pool('refused'), leader)
     ((end,),) = leader.ends[-1:]
     assert end.suspects == (SUSPECT,)
-    assert end.age_ms >= UNTOLD_S * 1000
-    assert all(seen.told for seen in reports.seen)
+    assert end.age_ms >= REPORT_RETRY_S * 1000
+    assert all(crash.acknowledged for crash in reporter.observed)
 
 
 def test_only_what_the_leader_has_not_heard_is_told_again():
@@ -169,11 +169,11 @@
 
     async def main(clock):
         leader = Leader(HEARD, 'lost', HEARD)
-        reports = reports_of(clock, Pool('refused'), leader)
+        reporter = reporter_of(clock, Pool('refused'), leader)
         for number in range(2):
-            reports.sent(SERVER, f'r{number}', Suspect(content=f'c{number}'))
-            await reports.broke(SERVER)
-            await passing(clock, reports, 3)
+            reporter.request_sent(SERVER, f'r{number}', Suspect(content=f'c{number}'))
+            await reporter.check_crash(SERVER)
+            await run_ticks(clock, reporter, 3)
         return leader.ends
 
     told = [[one.suspects[0].content for one in ends] for ends in run_virtual(main)]
@@ -183,14 +183,14 @@
 def test_new_leader_is_told_all_but_what_servers_bear():
     async def main(clock):
         leader = Leader(HEARD)
-        reports = reports_of(clock, Pool('refused'), leader)
+        reporter = reporter_of(clock, Pool('refused'), leader)
         for content in ('bad', 'good'):
-            reports.sent(SERVER, content, Suspect(content=content))
-        await reports.broke(SERVER)
-        reports.forget_content('good', 'other version')
-        reports.forget_content('good', SERVER.software)
-        reports.see_leader()
-        await passing(clock, reports, 3)
+            reporter.request_sent(SERVER, content, Suspect(content=content))
+        await reporter.check_crash(SERVER)
+        reporter.clear_content('good', 'other version')
+        reporter.clear_content('good', SERVER.software)
+        reporter.leader_changed()
+        await run_ticks(clock, reporter, 3)
         return leader.ends
 
     first, again = run_virtual(main)
@@ -200,7 +200,7 @@
 
 def test_end_that_is_heard_is_told_once():
     leader = Leader(HEARD)
-    broken(Pool('refused'), leader, seconds=10)
+    run_crash_check(Pool('refused'), leader, seconds=10)
     assert len(leader.ends) == 1
 
 
@@ -209,15 +209,15 @@
 
     async def main(clock):
         leader = Leader(HEARD)
-        reports = reports_of(clock, Pool('refused'), leader)
-        reports.sent(SERVER, 'r1', SUSPECT)
-        reports.fell_silent(SERVER.instance, SERVER)
-        reports.over(SERVER, 'r1')
-        await reports.broke(SERVER)
-        went_on = clock.now()
-        await passing(clock, reports, 2)
-        return went_on, leader.ends
-
-    went_on, ends = run_virtual(main)
-    assert went_on == 0
+        reporter = reporter_of(clock, Pool('refused'), leader)
+        reporter.request_sent(SERVER, 'r1', SUSPECT)
+        reporter.server_timed_out(SERVER.instance, SERVER)
+        reporter.request_finished(SERVER, 'r1')
+        await reporter.check_crash(SERVER)
+        retried_at = clock.now()
+        await run_ticks(clock, reporter, 2)
+        return retried_at, leader.ends
+
+    retried_at, ends = run_virtual(main)
+    assert retried_at == 0
     assert [end.suspects for (end,) in ends] == [(SUSPECT,)]
--- a/tests/test_gateway/test_following/test_following_guard.py
+++ b/tests/test_gateway/test_following/test_following_guard.py
@@ -6,8 +6,8 @@
 import pytest
 
 from ringseam.contents import request_content_id
-from ringseam.gateway.following.guard import Guard
-from ringseam.gateway.following.health import HealthBook
+from ringseam.gateway.following.guard import QuarantineGuard
+from ringseam.gateway.following.health import HealthTracker
 from ringseam.lifetimes import BackendId
 from ringseam.model.virtualtime import run_virtual
 from ringseam.node import Node
@@ -42,15 +42,15 @@
     return request_content_id(request, host='h.example', account=account, secret=SECRET)
 
 
-class Ending(ScriptedServer):
+class Crashing(ScriptedServer):
     """A server that ends when it has begun a request."""
 
     def __init__(self, before=b''):
-        super().__init__(self.end)
+        super().__init__(self.crash)
         self.before = before
         self.writers = []
 
-    async def end(self, asked, writer):
+    async def crash(self, asked, writer):
         self.writers.append(writer)
         if asked.header('X-Waits'):
             await asyncio.sleep(5)
@@ -94,8 +94,8 @@
                 await add(gateway, ScriptedServer(resetting), name)
             for number in range(6):
                 await gateway.fetch('/idem/x', Attempt_Id=f'r{number}')
-            assert not gateway.role.guard.ends.seen
-            assert not gateway.role.guard.local.evidence.crashes
+            assert not gateway.role.guard.crashes.observed
+            assert not gateway.role.guard.local_quarantine.evidence.crashes
 
     asyncio.run(run())
 
@@ -104,16 +104,16 @@
 def test_all_that_was_under_way_on_a_server_that_ended_is_suspected(key_file, before):
     async def run():
         async with LocalGateway(key_file) as gateway:
-            await add(gateway, Ending(before), 'a')
+            await add(gateway, Crashing(before), 'a')
             mate = asyncio.create_task(gateway.fetch('/cut/mate', X_Waits='1', Attempt_Id='r2'))
             await asyncio.sleep(0.05)
             await gateway.fetch('/cut/x')
             await mate
-            (seen,) = gateway.role.guard.ends.seen
+            (seen,) = gateway.role.guard.crashes.observed
         found = {suspect.content for suspect in seen.end.suspects}
         assert found == {content('/cut/x'), content('/cut/mate')}
         assert {suspect.account for suspect in seen.end.suspects} == {'acme'}
-        assert not gateway.role.guard.ends.under_way.by_server
+        assert not gateway.role.guard.crashes.in_flight.by_server
 
     asyncio.run(run())
 
@@ -124,13 +124,13 @@
     async def run():
         async with LocalGateway(key_file) as gateway:
             guard = gateway.role.guard
-            await add(gateway, Ending(), 'a')
+            await add(gateway, Crashing(), 'a')
             server = gateway.role.follower.view.backends[BackendId('a')]
             late = Suspect(content=content('/cut/late'), account='acme')
-            guard.ends.sent(server, 'late', late)
+            guard.crashes.request_sent(server, 'late', late)
             await gateway.fetch('/idem/x')
-            await guard.ends.broke(server)
-            (seen,) = guard.ends.seen
+            await guard.crashes.check_crash(server)
+            (seen,) = guard.crashes.observed
         assert late in seen.end.suspects
 
     asyncio.run(run())
@@ -142,23 +142,25 @@
     async def run():
         async with LocalGateway(key_file) as gateway:
             guard = gateway.role.guard
-            await add(gateway, Ending(), 'a')
-            guard.ends.fell_silent(BackendId('a'), None)
+            await add(gateway, Crashing(), 'a')
+            guard.crashes.server_timed_out(BackendId('a'), None)
             await gateway.fetch('/idem/x')
-            assert not guard.ends.seen
+            assert not guard.crashes.observed
 
     asyncio.run(run())
 
 
 def test_without_a_leader_a_gateway_judges_by_what_it_has_seen(key_file):
     async def run():
-        servers = [Ending() for _ in range(3)]
+        servers = [Crashing() for _ in range(3)]
         async with LocalGateway(key_file) as gateway:
             for number, server in enumerate(servers):
                 await add(gateway, server, f'a{number}')
             for number in range(3):
                 await gateway.fetch('/idem/x', Attempt_Id=f'r{number}')
-            gateway.role.guard.local.evaluate(gateway.role.node.clock.now() + REPORT_SETTLE_S)
+            gateway.role.guard.local_quarantine.evaluate(
+                gateway.role.node.clock.now() + REPORT_SETTLE_S
+            )
             sound = ScriptedServer(good)
             await add(gateway, sound, 'z')
             status, raw = await gateway.fetch('/idem/x', Attempt_Id='again')
@@ -174,7 +176,7 @@
     """Its third end is told by then, so a retry would only cost a fourth server."""
 
     async def run():
-        servers = [Ending() for _ in range(4)]
+        servers = [Crashing() for _ in range(4)]
         async with LocalGateway(key_file) as gateway:
             for number, server in enumerate(servers):
                 await add(gateway, server, f'a{number}')
@@ -189,7 +191,7 @@
 
 def test_pieces_on_trial_whose_server_ends_are_not_made_elsewhere(key_file):
     async def run():
-        servers = [Ending() for _ in range(4)]
+        servers = [Crashing() for _ in range(4)]
         async with LocalGateway(key_file) as gateway:
             for number, server in enumerate(servers):
                 await add(gateway, server, f'a{number}', service='crops')
@@ -217,13 +219,17 @@
 
 def guard_of(clock, leader, **known):
     follower = SimpleNamespace(
-        in_touch=True, leader='c1', epoch='e1', quarantine=QuarantineSnapshot(version=1), **known
+        is_connected=True,
+        leader='c1',
+        epoch='e1',
+        quarantine=QuarantineSnapshot(version=1),
+        **known,
     )
-    return Guard(
+    return QuarantineGuard(
         node=Node(name='g', role='gateway', address='', secret=b's', clock=clock),
         client=leader,
         follower=follower,
-        health=HealthBook(),
+        health=HealthTracker(),
         pool=Refusing(),
     )
 
@@ -241,13 +247,13 @@
         leader = Leader()
         guard = guard_of(clock, leader)
         guard.follower.quarantine = QuarantineSnapshot(version=1, suspects=('c',))
-        guard.follower.in_touch = False
+        guard.follower.is_connected = False
         server = SimpleNamespace(instance='a#1', service='s', software='', address='1.1.1.1:1')
-        guard.ends.sent(server, 'r1', Suspect(content='c'))
-        await guard.ends.broke(server)
-        guard.follower.in_touch = True
-        work = SimpleNamespace(content_id='c', trial_at=None, deadline=9)
-        assert await guard.admit(work) is TrialState.granted
+        guard.crashes.request_sent(server, 'r1', Suspect(content='c'))
+        await guard.crashes.check_crash(server)
+        guard.follower.is_connected = True
+        context = SimpleNamespace(content_id='c', trial_at=None, deadline=9)
+        assert await guard.admit(context) is TrialState.granted
         return leader.calls
 
     first, second = run_virtual(run)
@@ -264,10 +270,10 @@
         server = SimpleNamespace(instance='a#1', service='s', software='', address='1.1.1.1:1')
         for epoch in ('e1', '', 'e1', '', 'e1'):
             guard.follower.epoch = epoch
-            guard.see_news()
-            if not guard.ends.seen:
-                guard.ends.sent(server, 'r1', Suspect(content='c'))
-                await guard.ends.broke(server)
+            guard.apply_quarantine()
+            if not guard.crashes.observed:
+                guard.crashes.request_sent(server, 'r1', Suspect(content='c'))
+                await guard.crashes.check_crash(server)
             await asyncio.sleep(1)
         return leader.calls
 
@@ -278,12 +284,12 @@
     async def run():
         async with LocalGateway(key_file) as gateway:
             for name in 'ab':
-                await add(gateway, Ending(), name)
+                await add(gateway, Crashing(), name)
             await gateway.fetch('/idem/x')
             await add(gateway, ScriptedServer(good), 'c')
             status, _ = await gateway.fetch('/idem/x', Attempt_Id='again')
             await asyncio.sleep(0)
-            assert not gateway.role.guard.local.suspects
+            assert not gateway.role.guard.local_quarantine.suspects
         assert status == 200
 
     asyncio.run(run())
@@ -315,7 +321,7 @@
         server = ScriptedServer(good)
         async with LocalGateway(key_file) as gateway:
             await add(gateway, server, 'a')
-            gateway.role.follower.in_touch = True
+            gateway.role.follower.is_connected = True
             gateway.role.follower.leader = '127.0.0.1:1'
             suspects = (content('/idem/x'),)
             gateway.role.follower.quarantine = QuarantineSnapshot(version=2, suspects=suspects)
@@ -341,7 +347,7 @@
             held = known if verdict == 'quarantined' else tuple(known)
             news = QuarantineSnapshot(version=2, **{verdict: held})
             gateway.role.follower.quarantine = news
-            gateway.role.follower.in_touch = True
+            gateway.role.follower.is_connected = True
             gateway.role.follower.leader = '127.0.0.1:1'
             for number in range(5):
                 await gateway.fetch('/idem/x', Attempt_Id=f'try-{number}')
@@ -378,9 +384,9 @@
 def test_end_of_a_stage_server_is_told_with_the_contents_of_its_pieces(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
-            await add(gateway, Ending(), 'a', service='crops')
+            await add(gateway, Crashing(), 'a', service='crops')
             await gateway.fetch('/staged/x', Pieces='2', Deadline_Ms='900')
-            (seen,) = gateway.role.guard.ends.seen
+            (seen,) = gateway.role.guard.crashes.observed
         assert [suspect.content for suspect in seen.end.suspects] == [content('/staged/x')]
 
     asyncio.run(run())
@@ -413,8 +419,10 @@
             now = gateway.role.node.clock.now()
             assert guard.served.contains(content('/idem/x'), '', now) is bears
             server = gateway.role.follower.view.backends[BackendId('a')]
-            guard.ends.sent(server, 'r9', Suspect(content=content('/idem/x'), account='acme'))
-            await guard.ends._probe(server)
-            assert not guard.ends.seen
+            guard.crashes.request_sent(
+                server, 'r9', Suspect(content=content('/idem/x'), account='acme')
+            )
+            await guard.crashes._probe(server)
+            assert not guard.crashes.observed
 
     asyncio.run(run())
--- a/tests/test_gateway/test_following/test_following_lag.py
+++ b/tests/test_gateway/test_following/test_following_lag.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ringseam.gateway.following.lag import LoopLag
+from ringseam.gateway.following.lag import EventLoopLag
 
 
 @pytest.mark.parametrize(
@@ -20,18 +20,18 @@
     ],
 )
 def test_timers_that_are_late_in_a_row_show_it(lates, busy):
-    lag = LoopLag()
+    lag = EventLoopLag()
     for number, late_s in enumerate(lates):
-        lag.note(late_s, number / 10)
+        lag.record(late_s, number / 10)
     assert lag.is_busy(len(lates) / 10) is busy
 
 
 def test_process_decides_again_after_a_while_in_time():
-    lag = LoopLag()
-    lag.note(1, 0)
-    lag.note(1, 1)
-    lag.note(0, 1.1)
+    lag = EventLoopLag()
+    lag.record(1, 0)
+    lag.record(1, 1)
+    lag.record(0, 1.1)
     assert lag.is_busy(5.9)
     assert not lag.is_busy(6)
-    lag.note(1, 7)
+    lag.record(1, 7)
     assert not lag.is_busy(7)
--- a/tests/test_gateway/test_following/test_following_pacing.py
+++ b/tests/test_gateway/test_following/test_following_pacing.py
@@ -1,4 +1,4 @@
-"""What all gateways together send to a server that names a limit, without a network."""
+"""What all gateways together send to a server that gateway_names a limit, without a network."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from ringseam.backends import BackendId
-from ringseam.gateway.following.limits import LimitBook
-from ringseam.gateway.following.pacing import Pace
+from ringseam.gateway.following.limits import RateLimitTracker
+from ringseam.gateway.following.pacing import Pacer
 
-ONE = BackendId('s0')
+SERVER = BackendId('s0')
 #: A limit binds from this long after it was first named, seconds.
 BINDS_S = 3.0
 WINDOW_S = 4.0
@@ -22,7 +22,7 @@
     return 1.5 * WINDOW_S * per_s + 5
 
 
-def most_bound(times, named_at):
+def most_in_bound_windows(times, named_at):
     """Return the most requests in four seconds that end when the limit binds, or later."""
     ordered = sorted(times)
     return max(
@@ -36,18 +36,18 @@
 
 
 def limited(per_s, now=0.0):
-    book = LimitBook()
-    book.heard(ONE, per_s, now)
-    return book
+    tracker = RateLimitTracker()
+    tracker.record(SERVER, per_s, now)
+    return tracker
 
 
-def send_all(pace, times, *, peers=(), longest_s=0.0):
+def send_all(pacer, times, *, peers=(), max_wait_s=0.0):
     """Send what has a turn at once, or soon enough; return when."""
     sent = []
     for at in times:
-        wait_s = pace.limit_wait_s(ONE, at, peers=peers)
-        if wait_s <= longest_s:
-            sent.append(at + pace.take(ONE, None, at, peers=peers))
+        wait_s = pacer.limit_wait_s(SERVER, at, peers=peers)
+        if wait_s <= max_wait_s:
+            sent.append(at + pacer.reserve(SERVER, None, at, peers=peers))
     return sent
 
 
@@ -58,26 +58,28 @@
     st.floats(0.3, 40),
     st.floats(0, 1),
 )
-def test_owner_keeps_a_limit_that_is_named_within_a_burst(per_s, before, rate, longest_s):
-    pace = Pace(name='g')
-    earlier = [-1 + number / max(1, before) for number in range(before)]
-    for at in earlier:
-        pace.take(ONE, None, at)
-    pace.limits.heard(ONE, per_s, 0)
-    after = send_all(pace, [number / rate for number in range(int(12 * rate))], longest_s=longest_s)
+def test_owner_keeps_a_limit_that_is_named_within_a_burst(per_s, before, rate, max_wait_s):
+    pacer = Pacer(name='g')
+    sent_before = [-1 + number / max(1, before) for number in range(before)]
+    for at in sent_before:
+        pacer.reserve(SERVER, None, at)
+    pacer.limits.record(SERVER, per_s, 0)
+    after = send_all(
+        pacer, [number / rate for number in range(int(12 * rate))], max_wait_s=max_wait_s
+    )
     # What came before it was named alone may be more than is allowed then.
     bound = max(allowed(per_s), 0)
     late = [at for at in after if at >= BINDS_S]
     for at in late:
-        window = [other for other in earlier + after if at - WINDOW_S <= other <= at]
+        window = [other for other in sent_before + after if at - WINDOW_S <= other <= at]
         assert len(window) <= bound
 
 
 @pytest.mark.parametrize('per_s', [0.2, 1, 5, 20])
 def test_limit_is_used_where_requests_wait_for_it(per_s):
-    pace = Pace(name='g', limits=limited(per_s))
+    pacer = Pacer(name='g', limits=limited(per_s))
     times = [number / 100 for number in range(2000)]
-    sent = send_all(pace, times, longest_s=0.3)
+    sent = send_all(pacer, times, max_wait_s=0.3)
     assert len(sent) >= 0.9 * 20 * max(per_s, 0.25)
 
 
@@ -85,47 +87,47 @@
 @pytest.mark.parametrize('gateways', [3, 30, 68, 300])
 @pytest.mark.parametrize('per_s', [0, 0.2, 1, 20])
 def test_owner_and_those_that_cannot_reach_it_stay_within_the_limit(gateways, per_s):
-    dice = random.Random(gateways)
-    names = frozenset(f'g{number}' for number in range(gateways))
+    rng = random.Random(gateways)
+    gateway_names = frozenset(f'g{number}' for number in range(gateways))
     sent = []
-    for name in names:
-        pace = Pace(name=name, limits=limited(per_s))
-        begin = dice.random()
+    for name in gateway_names:
+        pacer = Pacer(name=name, limits=limited(per_s))
+        begin = rng.random()
         times = [begin + number / 10 for number in range(200)]
-        sent.extend(send_all(pace, times, peers=names, longest_s=0.5))
-    owner = Pace(name='g0', limits=limited(per_s))
-    sent.extend(send_all(owner, [number / 50 for number in range(1000)], longest_s=0.5))
-    assert most_bound(sent, 0) <= allowed(per_s)
+        sent.extend(send_all(pacer, times, peers=gateway_names, max_wait_s=0.5))
+    owner = Pacer(name='g0', limits=limited(per_s))
+    sent.extend(send_all(owner, [number / 50 for number in range(1000)], max_wait_s=0.5))
+    assert most_in_bound_windows(sent, 0) <= allowed(per_s)
 
 
 def test_server_that_takes_nothing_is_asked_now_and_then():
-    pace = Pace(name='g', limits=limited(0.0001))
-    sent = send_all(pace, [number / 10 for number in range(400)])
+    pacer = Pacer(name='g', limits=limited(0.0001))
+    sent = send_all(pacer, [number / 10 for number in range(400)])
     assert 9 <= len(sent) <= 11
 
 
 def test_newest_word_of_a_limit_holds():
-    book = limited(2.0, now=10)
-    book.learn(ONE, None, said_at=9, now=11)
-    assert book.of(ONE).per_s == 2
-    book.learn(ONE, None, said_at=10.5, now=11)
-    assert book.of(ONE) is None
-    book.learn(ONE, 2.0, said_at=10.2, now=12)
-    assert book.of(ONE) is None
+    tracker = limited(2.0, now=10)
+    tracker.merge(SERVER, None, stated_at=9, now=11)
+    assert tracker.of(SERVER).per_s == 2
+    tracker.merge(SERVER, None, stated_at=10.5, now=11)
+    assert tracker.of(SERVER) is None
+    tracker.merge(SERVER, 2.0, stated_at=10.2, now=12)
+    assert tracker.of(SERVER) is None
 
 
 def test_limit_that_changes_was_first_named_at_its_begin():
-    book = limited(2.0, now=10)
-    book.heard(ONE, 3.0, 11)
-    assert (book.of(ONE).since, book.of(ONE).per_s) == (10, 3)
-    book.heard(ONE, None, 12)
-    book.heard(ONE, 3.0, 13)
-    assert book.of(ONE).since == 13
+    tracker = limited(2.0, now=10)
+    tracker.record(SERVER, 3.0, 11)
+    assert (tracker.of(SERVER).since, tracker.of(SERVER).per_s) == (10, 3)
+    tracker.record(SERVER, None, 12)
+    tracker.record(SERVER, 3.0, 13)
+    assert tracker.of(SERVER).since == 13
 
 
 def test_servers_that_are_gone_are_forgotten():
-    pace = Pace(name='g', limits=limited(1.0))
-    pace.take(ONE, None, 0)
-    pace.limits.keep_only(set())
-    pace.keep_only(set())
-    assert (pace.limits.named, pace.lately, pace.last_at) == ({}, {}, {})
+    pacer = Pacer(name='g', limits=limited(1.0))
+    pacer.reserve(SERVER, None, 0)
+    pacer.limits.keep_only(set())
+    pacer.keep_only(set())
+    assert (pacer.limits.by_server, pacer.recent_sends, pacer.last_send_at) == ({}, {}, {})
--- a/tests/test_gateway/test_following/test_following_zones.py
+++ b/tests/test_gateway/test_following/test_following_zones.py
@@ -151,7 +151,9 @@
             cold = ColdSpec(length_s=60, per_s=4)
             services[ServiceName('plain')] = replace(services[ServiceName('plain')], cold=cold)
             gateway.add_server(await servers['a'].start(), zone='a', name='a')
-            gateway.role.follower.coldness.note(BackendId('a'), gateway.role.node.clock.now() + 60)
+            gateway.role.follower.cold_servers.mark_cold(
+                BackendId('a'), gateway.role.node.clock.now() + 60
+            )
             assert (await gateway.fetch(path, Attempt_Id='first', **headers))[0] == 200
             waiting = asyncio.create_task(gateway.fetch(path, Attempt_Id='second', **headers))
             await asyncio.sleep(0.05)
--- a/tests/test_gateway/test_requests/test_requests_faults.py
+++ b/tests/test_gateway/test_requests/test_requests_faults.py
@@ -290,7 +290,7 @@
             gateway.add_server(await server.start())
             request = asyncio.create_task(gateway.fetch('/idem/x'))
             await asyncio.sleep(0.05)
-            await follower.take_document(manifest())
+            await follower.apply_document(manifest())
             actual, _ = await request
         assert actual == 200
 
@@ -358,7 +358,7 @@
             address = await server.start()
             gateway.add_server(address, name='i-1#7')
             now = gateway.role.node.clock.now()
-            gateway.role.health.failed('i-1#7', now, hard=True)
+            gateway.role.health.record_failure('i-1#7', now, hard=True)
             assert gateway.role.health.of('i-1#7').ejected_until > now
             gateway.add_server(address, name='i-1#9')
             assert gateway.role.health.of('i-1#9').ejected_until <= now
--- a/tests/test_gateway/test_requests/test_requests_limits.py
+++ b/tests/test_gateway/test_requests/test_requests_limits.py
@@ -139,8 +139,8 @@
                 leaving=True,
             )
             words = gateway.role.words
-            words.heard(BackendId(''), marks)
-        assert (words.limits.named, words.pauses.until, words.leaving) == ({}, {}, set())
+            words.record(BackendId(''), marks)
+        assert (words.limits.by_server, words.pauses.until, words.leaving) == ({}, {}, set())
 
     asyncio.run(run())
 
--- a/tests/test_gateway/test_requests/test_requests_pauses.py
+++ b/tests/test_gateway/test_requests/test_requests_pauses.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ringseam.gateway.following.pauses import PauseBook
+from ringseam.gateway.following.pauses import PauseTracker
 from tests.gateways import LocalGateway, ScriptedServer, http_response, stream_head
 
 #: Number of requests that may arrive during a pause, from 0.5 s after its start.
@@ -200,8 +200,8 @@
 
 
 def test_pause_is_limited_to_five_minutes():
-    book = PauseBook()
-    book.heard('s', 86400, 0)
-    assert book.left_s('s', 0) == 300
-    book.heard('s', 1, 10)
-    assert book.left_s('s', 10) == 290
+    tracker = PauseTracker()
+    tracker.record('s', 86400, 0)
+    assert tracker.remaining_s('s', 0) == 300
+    tracker.record('s', 1, 10)
+    assert tracker.remaining_s('s', 10) == 290
--- a/tests/test_gateway/test_stages/test_stages_batching.py
+++ b/tests/test_gateway/test_stages/test_stages_batching.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from ringseam.backends import BackendId, BackendReport
-from ringseam.gateway.following.health import HealthBook
+from ringseam.gateway.following.health import HealthTracker
 from ringseam.gateway.priorities import Precedence
 from ringseam.gateway.stages.batching import (
     FULL_BACKOFF_S,
@@ -48,7 +48,7 @@
 
 
 def new_batcher():
-    return Batcher(service=SERVICE, health=HealthBook())
+    return Batcher(service=SERVICE, health=HealthTracker())
 
 
 def requests_of(call):
@@ -149,7 +149,7 @@
 def test_slow_server_takes_only_pieces_that_faster_ones_would_run_later():
     batcher = new_batcher()
     slow, fast = server('slow'), server('fast')
-    batcher.health.compared(slow.instance, 5.0, now=0)
+    batcher.health.record_slowness(slow.instance, 5.0, now=0)
     batcher.throughput.calls[fast.instance] = 1
     batcher.add(job('near', pieces=8, due=2), 0)
     assert batcher.next_call([slow, fast], SPEC, 0) is None
@@ -162,7 +162,7 @@
 def test_slow_servers_work_when_there_are_no_others():
     batcher = new_batcher()
     slow = server('slow')
-    batcher.health.compared(slow.instance, 5.0, now=0)
+    batcher.health.record_slowness(slow.instance, 5.0, now=0)
     batcher.add(job('r'), 0)
     assert batcher.next_call([slow], SPEC, 0).server is slow
 
@@ -172,7 +172,7 @@
     so a server that stopped answering is probed with the least urgent piece only."""
     batcher = new_batcher()
     servers = [server('silent'), server('sound')]
-    batcher.health.fell_silent(BackendId('silent'), 0)
+    batcher.health.record_timeout(BackendId('silent'), 0)
     batcher.add(job('urgent', rank=0, pieces=3), 0)
     batcher.add(job('normal', pieces=3), 0)
     batcher.add(job('last', pieces=3, due=20), 0)
@@ -182,7 +182,7 @@
     call = batcher.next_call(servers, SPEC, 0)
     assert call.server.instance == 'silent'
     assert requests_of(call) == ['last']
-    batcher.health.succeeded(BackendId('silent'), 1)
+    batcher.health.record_success(BackendId('silent'), 1)
     batcher.call_ended(call)
     call = batcher.next_call([server('silent')], SPEC, 1)
     assert len(call.pieces) > 1
--- a/tests/test_gateway/test_stages/test_stages_scheduler.py
+++ b/tests/test_gateway/test_stages/test_stages_scheduler.py
@@ -155,7 +155,7 @@
 
         async def fail_once(asked, writer):
             if 'stage-run' in asked.lines[0]:
-                seen.append(gateway.role.health.of(BackendId('worker')).silent)
+                seen.append(gateway.role.health.of(BackendId('worker')).unresponsive)
             if len(seen) == 1:
                 await first(asked, writer)
             else:
@@ -167,7 +167,7 @@
             gateway.add_server(place['crops'], service='crops', name='worker')
             gateway.add_server(await engine.start())
             found, _ = await gateway.fetch('/staged/x', Pieces='1', Piece_Key='k')
-            seen.append(gateway.role.health.of(BackendId('worker')).silent)
+            seen.append(gateway.role.health.of(BackendId('worker')).unresponsive)
         assert found == 200
         assert seen == [False, silent, False]
 
