--- a/ringseam/gateway/following/__init__.py
+++ b/ringseam/gateway/following/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway knows: routes, backend servers, other gateways."""
+"""State that a gateway keeps about routes, backend servers and other gateways."""
--- a/ringseam/gateway/following/coldservers.py
+++ b/ringseam/gateway/following/coldservers.py
@@ -1,9 +1,8 @@
-"""Until when backend servers are cold; a plain class.
+"""Times until which backend servers are cold, without any I/O.
 
-A server that has just started ends under a rate of requests that it bears later. Its
-reports tell until when it is cold. What they can't tell in time is assumed: a server
-that could not be reached may have started again, and so may those of a zone that was
-drained.
+A server that has just started fails under a request rate that it sustains once it is warm. Its
+reports state until when it is cold. Some cases would be reported too late and are assumed
+instead: an unreachable server may have restarted, and so may the servers of a drained zone.
 """
 
 from __future__ import annotations
@@ -18,21 +17,22 @@
 
 @dataclass(kw_only=True)
 class ColdServers:
-    """Until when backend servers have said that they are cold."""
+    """Times until which backend servers are known to be cold."""
 
     until: dict[BackendId, float] = field(default_factory=dict)
-    #: Since when servers are heard; one that became cold before may not say so again.
+    #: When this gateway began to receive reports. A server that turned cold earlier may not
+    #: report it again.
     observed_since: float = float('-inf')
 
     def mark_cold(self, instance: BackendId, until: float) -> None:
-        """Take a server for cold at least until then."""
+        """Treat a server as cold until at least ``until``."""
         if until > self.until.get(instance, float('-inf')):
             self.until[instance] = until
 
     def cold_until(self, instance: BackendId, spec: ColdSpec) -> float:
-        """Return until when a server is cold, or may be."""
+        """Return until when a server is cold or may be cold."""
         return max(self.until.get(instance, float('-inf')), self.observed_since + spec.length_s)
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget servers that are gone."""
+        """Remove all servers except ``instances``."""
         self.until = {name: until for name, until in self.until.items() if name in instances}
--- a/ringseam/gateway/following/confinement.py
+++ b/ringseam/gateway/following/confinement.py
@@ -1,4 +1,4 @@
-"""Which servers run the requests of accounts that are confined; a plain class."""
+"""Choice of the servers that run the requests of confined accounts, without any I/O."""
 
 from __future__ import annotations
 
@@ -14,37 +14,39 @@
 
     from ringseam.backends import BackendReport
 
-#: The share of a service's servers that run the requests of an account that is confined
-#: there: the others keep three quarters, and it keeps more than one server at most sizes.
+#: Share of the servers of a service that run the requests of a confined account: three quarters
+#: stay unaffected, and the account has more than one server in services of five or more.
 CONFINED_SHARE = 0.25
 
 
 @dataclass(kw_only=True)
 class Confinement:
-    """The servers of each confined account, by the account and the service.
+    """Names of the servers of each confined account, by account and service.
 
-    They stay the same while it lasts, also when they end and start again: else an
-    account that ends one after the other would go through all of them. All gateways
-    begin with the same ones, by rendezvous hashing of the servers' names.
+    The choice is kept while the confinement lasts, also when the servers crash and restart:
+    otherwise an account whose requests crash servers would work through all of them. All
+    gateways start with the same choice, by rendezvous hashing of the server names.
     """
 
-    names: dict[tuple[str, str], frozenset[str]] = field(default_factory=dict)
+    server_names: dict[tuple[str, str], frozenset[str]] = field(default_factory=dict)
 
     def keep_only(self, confined: Collection[tuple[str, str]]) -> None:
-        """Forget accounts that are free again."""
-        self.names = {owner: names for owner, names in self.names.items() if owner in confined}
-
-    def among(self, owner: tuple[str, str], servers: list[BackendReport]) -> list[BackendReport]:
-        """Return the servers of an account; others once none of them is left."""
-        kept = self._kept(owner, servers)
-        if not kept and servers:
-            account, _ = owner
+        """Remove accounts that are no longer confined."""
+        self.server_names = {
+            key: names for key, names in self.server_names.items() if key in confined
+        }
+
+    def select(self, key: tuple[str, str], servers: list[BackendReport]) -> list[BackendReport]:
+        """Return the servers of a confined account; choose new ones if none of them is left."""
+        assigned = self._assigned(key, servers)
+        if not assigned and servers:
+            account, _ = key
             present = {name_of(server.instance) for server in servers}
             count = math.ceil(len(present) * CONFINED_SHARE)
-            self.names[owner] = frozenset(rendezvous_order(account, present)[:count])
-            kept = self._kept(owner, servers)
-        return kept
+            self.server_names[key] = frozenset(rendezvous_order(account, present)[:count])
+            assigned = self._assigned(key, servers)
+        return assigned
 
-    def _kept(self, owner: tuple[str, str], servers: list[BackendReport]) -> list[BackendReport]:
-        names = self.names.get(owner, frozenset())
+    def _assigned(self, key: tuple[str, str], servers: list[BackendReport]) -> list[BackendReport]:
+        names = self.server_names.get(key, frozenset())
         return [server for server in servers if name_of(server.instance) in names]
--- a/ringseam/gateway/following/documentfetch.py
+++ b/ringseam/gateway/following/documentfetch.py
@@ -1,4 +1,4 @@
-"""Fetching a document of routes in parts, from whichever host has it."""
+"""Fetching of a routing document in parts, from any control host that has it."""
 
 from __future__ import annotations
 
@@ -16,59 +16,59 @@
 
 logger = logging.getLogger(__name__)
 
-#: The slowest link that parts are expected over, bytes a second: a quarter of
-#: one of 5 Mbit/s, which requests and their answers share.
+#: Lowest throughput that parts are expected at, bytes per second: a quarter of a link of 5
+#: Mbit/s, which requests and responses share.
 _SLOWEST_BYTES_PER_S = 160_000.0
-#: Besides its bytes, a part may take this long, seconds: a host that is busy
-#: elections or with a change of its own answers within that.
+#: Time that a part may take besides its transfer, seconds: a host that is busy with an election
+#: or a change of its own answers within that time.
 _PART_OVERHEAD_S = 0.6
 
 
 class DocumentFetcher:
-    """Collect the parts of one change; what was received_bytes outlives a lost host."""
+    """Fetch the parts of one document; received parts are kept when a host is lost."""
 
     def __init__(self, *, client: CallClient) -> None:
-        """Begin with nothing received_bytes."""
+        """Start without any received parts."""
         self.client = client
-        #: Whether its owner waits for one; there is one at a time.
+        #: Whether a caller is fetching; there is at most one at a time.
         self.is_running = False
         self.number = 0
-        #: The document against which the change was made; 0: against nothing.
+        #: The document that the parts are a difference to; 0: none.
         self.base_number = 0
         self.received_bytes = b''
 
-    async def run(
+    async def fetch(
         self,
         hosts: Collection[str],
         *,
         number: int,
-        held: tuple[int, bytes],
+        current: tuple[int, bytes],
     ) -> bytes | None:
-        """Return document ``number``, or None while no host gives all of it.
+        """Return document ``number``, or None while no host provides all of it.
 
-        :param held: number and bytes of the document in force here.
+        :param current: number and bytes of the document that this gateway uses.
         """
         if self.number != number:
             self.number = number
-            self._reset(held[0])
+            self._reset(current[0])
         for host in hosts:
             if await self._fetch_rest(host):
-                return self._decode(held)
+                return self._decode(current)
         return None
 
-    def _reset(self, held: int) -> None:
-        self.base_number = held
+    def _reset(self, base_number: int) -> None:
+        self.base_number = base_number
         self.received_bytes = b''
 
     async def _fetch_rest(self, host: str) -> bool:
-        """Collect what is left at one host; False when it doesn't give it."""
+        """Fetch the remaining parts from one host; return whether it provided them all."""
         total = len(self.received_bytes) + 1
         while len(self.received_bytes) < total:
             part = await self._fetch_part(host)
             if part is None:
                 return False
             if part.held != self.base_number:
-                # It doesn't hold the document in force here, so it sends all.
+                # The host lacks the document in use here, so it sends the new one in full.
                 self._reset(part.held)
                 continue
             total = part.total
@@ -83,14 +83,14 @@
         try:
             received = await self.client.call(host, DOCUMENT_PART, request, timeout_s=limit_s)
         except UnreachableError as error:
-            logger.debug('part of document %s: %s', self.number, error)
+            logger.debug('could not fetch a part of document %s: %s', self.number, error)
             return None
         reply = received.body.reply
         return reply if isinstance(reply, DocumentPart) else None
 
-    def _decode(self, held: tuple[int, bytes]) -> bytes | None:
-        """Return the document that the received_bytes parts make."""
-        number, document = held
+    def _decode(self, current: tuple[int, bytes]) -> bytes | None:
+        """Return the document that the received parts encode."""
+        number, document = current
         base_matches = self.base_number in {0, number}
         received_bytes = self.received_bytes
         base = document if self.base_number else b''
@@ -100,5 +100,7 @@
         try:
             return decode_change(base, received_bytes)
         except DocumentError as error:
-            logger.warning('document %s fetched again: %s', self.number, error)
+            logger.warning(
+                'document %s could not be decoded and is fetched again: %s', self.number, error
+            )
             return None
--- a/ringseam/gateway/following/ends.py
+++ b/ringseam/gateway/following/ends.py
@@ -1,4 +1,4 @@
-"""Ends of backend servers as one gateway sees them, and their report to the leader."""
+"""Detection of backend server crashes by one gateway, and their reports to the leader."""
 
 from __future__ import annotations
 
@@ -37,57 +37,58 @@
 
 logger = logging.getLogger(__name__)
 
-#: Whether anybody listens at an address shows within this, seconds: a host that runs
-#: refuses in a millisecond; one that is cut off or dark says nothing. A retry waits for it.
+#: Timeout of a probe, seconds: a running host refuses a connection within a millisecond; one
+#: that is partitioned or without power does not answer. A retry waits for the probe.
 PROBE_S = 0.1
-#: Where nothing was said, it is asked again so often and so far apart, seconds, while
-#: nobody waits: where a link loses three packets in ten, one of four probes passes both
-#: ways with 0.93. A server that has ended is back after a second or more.
+#: A probe without an answer is repeated this often and at this interval, seconds, in the
+#: background: on a link that loses three packets in ten, at least one of four probes gets its
+#: answer with probability 0.93. A crashed server restarts after a second or more.
 REPROBES = 3
 REPROBE_PAUSE_S = 0.15
-#: What breaks off a server that has fallen silent within this time was given up here,
-#: seconds; nobody would outcome at its address either.
+#: Connection failures within this time after a server timed out, seconds, are caused by this
+#: gateway abandoning its requests; a probe would not be answered either.
 TIMED_OUT_S = 2.0
-#: The leader is milliseconds away; a request doesn't wait longer for it, seconds.
+#: The round trip to the leader takes milliseconds; a request waits for it no longer than this,
+#: seconds.
 LEADER_CALL_S = 0.15
-#: Crashes that the leader may not have heard of are reported again after this long, seconds;
-#: the call may take as long: TCP retransmits a lost packet after 0.2 s.
+#: Crashes that the leader may not have received are reported again after this long, seconds.
+#: The call has the same timeout: a lost packet is retransmitted after 0.2 s.
 REPORT_RETRY_S = 1.0
-#: Ends that are acknowledged again to a new leader.
+#: Maximum number of crashes that are reported again to a new leader.
 _CRASHES_KEPT = 64
 _CONTENTS_LOGGED = 8
 
 
 class ProbeResult(enum.Enum):
-    """What an address said to a request for a connection."""
+    """Result of an attempt to connect to the address of a server."""
 
     listens = 'listens'
     refused = 'refused'
-    #: Nothing: its host may be cut off or dark, or a packet was lost.
+    #: No answer: the host may be partitioned or without power, or a packet was lost.
     silent = 'silent'
 
 
 @dataclass(kw_only=True)
 class ObservedCrash:
-    """An end that was crash here, and whether the leader of now has acknowledged of it."""
+    """A crash that this gateway observed, and whether the current leader knows of it."""
 
     at: float
     end: ServerCrash
     acknowledged: bool = False
 
     def clear_content(self, content: ContentId, software: str) -> None:
-        """Hear that servers of a version bear a content."""
+        """Remove a content that servers of ``software`` survive from the suspects."""
         if self.end.software == software:
             suspects = tuple(one for one in self.end.suspects if one.content != content)
             self.end = msgspec.structs.replace(self.end, suspects=suspects)
 
     def report(self, now: float) -> ServerCrash:
-        """Return what the leader is acknowledged of it."""
+        """Return the crash as reported to the leader."""
         return msgspec.structs.replace(self.end, age_ms=int((now - self.at) * MS_PER_S))
 
 
 class CrashReporter:
-    """Finds out which servers have ended, with what, and tells the leader."""
+    """Detect which servers have crashed with which requests in flight, and report it."""
 
     def __init__(
         self,
@@ -100,9 +101,9 @@
         served: RecentAnswers,
         on_crash: Callable[[ServerCrash, float], None],
     ) -> None:
-        """Tell the leader that ``follower`` follows, and ``on_crash`` before.
+        """Call ``on_crash`` and then report to the leader that ``follower`` is connected to.
 
-        :param served: what a server was crash to bear is not suspected.
+        :param served: contents that servers have answered successfully; they are not suspected.
         """
         self.node = node
         self.clock = node.clock
@@ -115,26 +116,26 @@
         self.in_flight = InFlightRequests()
         self.tasks = TaskSet()
         self.probes: dict[BackendId, asyncio.Task[None]] = {}
-        #: Servers that are asked again.
+        #: Servers that are being probed again.
         self.reprobing: set[BackendId] = set()
         self.timed_out_at: dict[BackendId, float] = {}
         self.observed: collections.deque[ObservedCrash] = collections.deque(maxlen=_CRASHES_KEPT)
-        #: When the leader was last acknowledged of what it had not acknowledged.
+        #: When crashes were last reported to the leader.
         self.last_report_at = float('-inf')
 
     def request_sent(self, server: BackendReport, attempt_id: str, suspect: Suspect) -> None:
-        """Hear that a server may have begun a request."""
+        """Record that a server may have started a request."""
         self.in_flight.add(server.instance, attempt_id, suspect)
 
     def request_finished(self, server: BackendReport, attempt_id: str) -> None:
-        """Hear that a request is under way there no more."""
+        """Record that a request is no longer in flight on a server."""
         self.in_flight.remove(server.instance, attempt_id)
 
     def server_timed_out(self, instance: BackendId, server: BackendReport | None) -> None:
-        """Hear that a server has fallen silent, and what it owes is given up.
+        """Record that a server stopped responding and its requests are abandoned.
 
-        The end of its connections may have been lost on the way, so one that is still
-        known is asked; nobody waits for it.
+        The reset of its connections may have been lost, so a server that is still known is
+        probed in the background.
         """
         now = self.clock.now()
         self.timed_out_at[instance] = now
@@ -142,11 +143,11 @@
             self._start_reprobe(server, now)
 
     async def check_crash(self, server: BackendReport) -> None:
-        """Find out whether a server has ended, and tell; called before :meth:`request_finished`.
+        """Probe whether a server has crashed, and report it.
 
-        A connection that check_crash may have been reset alone; a server that has ended has
-        nobody that listens. Returns once the leader has acknowledged, so that a retry that
-        follows is judged by this end too.
+        To be called before :meth:`request_finished`. A broken connection may have been reset
+        alone, but a crashed server no longer listens on its address. Returns once the leader
+        has answered, so that it takes this crash into account for a retry that follows.
         """
         timed_out_at = self.timed_out_at.get(server.instance, float('-inf'))
         if self.clock.now() - timed_out_at < TIMED_OUT_S:
@@ -159,29 +160,29 @@
         await asyncio.shield(probe)
 
     def clear_content(self, content: ContentId, software: str) -> None:
-        """Hear that servers of a version bear a content: no leader is acknowledged of it again."""
+        """Stop reporting a content that servers of ``software`` survive."""
         for crash in self.observed:
             crash.clear_content(content, software)
 
     def leader_changed(self) -> None:
-        """Hear of a new leadership: it is acknowledged all that is remembered."""
+        """Report all remembered crashes to a new leader."""
         for crash in self.observed:
             crash.acknowledged = False
-        self._report_unacknowledged()
+        self._retry_reports()
 
     async def flush(self) -> None:
-        """Tell the leader what it has not acknowledged, before it is asked what may run."""
+        """Report unacknowledged crashes before the leader is asked for a trial run."""
         unacknowledged = self._unacknowledged(self.clock.now())
         if unacknowledged:
             await self._report(unacknowledged, LEADER_CALL_S)
 
     def tick(self, now: float) -> None:
-        """Do what is due by now; called at short intervals."""
+        """Run periodic work that is due; called at short intervals."""
         self.timed_out_at = {
             name: at for name, at in self.timed_out_at.items() if now - at < TIMED_OUT_S
         }
         if now - self.last_report_at > REPORT_RETRY_S:
-            self._report_unacknowledged()
+            self._retry_reports()
 
     # -- helpers ------------------------------------------------------------
 
@@ -194,7 +195,7 @@
             self._start_reprobe(server, self.clock.now())
 
     def _start_reprobe(self, server: BackendReport, at: float) -> None:
-        """Ask again, in case it was only a packet that was lost."""
+        """Probe again in the background, in case only a packet was lost."""
         if server.instance not in self.reprobing:
             self.reprobing.add(server.instance)
             suspects = self.in_flight.of(server.instance)
@@ -223,8 +224,8 @@
         except RefusedError:
             return ProbeResult.refused
         except ChannelError as error:
-            # Silence is no proof: its host may be cut off.
-            logger.debug('not acknowledged whether it ended: %s', error)
+            # No answer proves nothing: the host may be partitioned.
+            logger.debug('probe did not show whether the server has crashed: %s', error)
             return ProbeResult.silent
         channel.close()
         return ProbeResult.listens
@@ -263,7 +264,7 @@
             if not crash.acknowledged and now - crash.at < EVIDENCE_RETENTION_S
         ]
 
-    def _report_unacknowledged(self) -> None:
+    def _retry_reports(self) -> None:
         unacknowledged = self._unacknowledged(self.clock.now())
         if unacknowledged and self.follower.is_connected:
             self.tasks.spawn(self._report(unacknowledged, REPORT_RETRY_S))
@@ -279,7 +280,7 @@
         try:
             received = await self.client.call(leader, REPORT_CRASHES, report, timeout_s=limit_s)
         except UnreachableError as error:
-            logger.debug('ends not acknowledged: %s', error)
+            logger.debug('crashes not reported: %s', error)
             return
         if epoch == self.follower.epoch:
             acknowledged = not isinstance(received.body.reply, Redirect)
--- a/ringseam/gateway/following/follower.py
+++ b/ringseam/gateway/following/follower.py
@@ -1,4 +1,4 @@
-"""Following the leader of control: routes, backend servers, other gateways."""
+"""Subscription to the leader of the control group: routes, backend servers, other gateways."""
 
 from __future__ import annotations
 
@@ -33,28 +33,33 @@
 
 logger = logging.getLogger(__name__)
 
-#: A watch is held for a second; later its host counts as lost, seconds.
+#: The leader holds a watch call for up to 1 s; a host that takes longer than this is considered
+#: lost, seconds.
 _WATCH_TIMEOUT_S = 1.5
-#: While the leader is looked for, a host answers at once or is passed over after
-#: this long, seconds: one without power would hold the search up.
+#: While the leader is searched for, a host answers at once or is skipped after this long,
+#: seconds: otherwise a host without power would delay the search.
 _SEARCH_TIMEOUT_S = 0.4
-#: Pause after a host that couldn't tell the leader, seconds.
+#: Delay after a host that could not name the leader, or when no host provides a document,
+#: seconds.
 _RETRY_DELAY_S = 0.1
 _CONFIRM_S = 1.0
 
 
 @dataclass(kw_only=True)
 class DirectoryCursor:
-    """What a gateway holds of the leader's directory of servers."""
+    """How much of the leader's server directory a gateway has received."""
 
-    #: The change up to which it is known.
+    #: Number of the last change that was received.
     since: int = 0
-    #: The epoch in which servers that are missing from it were dropped.
+    #: The epoch in which servers missing from the directory were removed.
     pruned_in_epoch: str = ''
 
 
 class Follower:
-    """Hold the newest routes and backend servers; neither goes back."""
+    """Keep the latest routes and backend servers; neither is replaced by an older state.
+
+    This is a client of the control group, not a follower in the sense of Raft.
+    """
 
     def __init__(
         self,
@@ -64,15 +69,15 @@
         addresses: tuple[str, ...],
         on_change: Callable[[], None],
     ) -> None:
-        """Begin with the addresses of some control hosts."""
+        """Start with the addresses of some control hosts."""
         self.node = node
         self.client = client
         self.addresses = list(addresses)
         self.on_change = on_change
         self.table = RouteTable()
-        #: The document that the table was read from.
+        #: The document that the table was decoded from.
         self.document = b''
-        #: The newest document that a leader has told of, and when.
+        #: The latest document that a leader has announced, and when.
         self.newest_number = 0
         self.newest_seen_at = node.clock.now()
         self.fetcher = DocumentFetcher(client=client)
@@ -80,7 +85,7 @@
         self.view = BackendView()
         self.gateways: tuple[GatewayState, ...] = ()
         self.epoch = ''
-        #: Contents that end servers, as the leader has told.
+        #: Contents that crash servers, as announced by the leader.
         self.quarantine = QuarantineSnapshot(version=0)
         self.confinement = Confinement()
         self.cold_servers = ColdServers()
@@ -89,12 +94,12 @@
         self.draining = False
         self.busy = False
         self.is_connected = False
-        #: Set, and replaced, with each news.
+        #: Set and replaced with each update.
         self.update_event = asyncio.Event()
 
     @property
     def state(self) -> GatewayState:
-        """Return what others are told of this gateway."""
+        """Return the state of this gateway as others see it."""
         return GatewayState(
             name=self.node.name,
             address=self.node.address,
@@ -105,7 +110,7 @@
 
     @property
     def gateway_names(self) -> frozenset[str]:
-        """Return the names of all gateways, this one among them."""
+        """Return the names of all gateways, including this one."""
         return frozenset(state.name for state in self.gateways) | {self.node.name}
 
     @property
@@ -114,9 +119,9 @@
         return self.table.number > 0 and bool(self.view.backends)
 
     def zones_within(self, *limits: frozenset[str]) -> frozenset[str] | None:
-        """Return the zones of the regions that all limits allow; None: all zones.
+        """Return the zones in the regions that all limits allow; None: all zones.
 
-        A limit that names no region allows all of them.
+        A limit without regions allows all of them.
         """
         bounds = [limit for limit in limits if limit]
         if not bounds:
@@ -130,33 +135,33 @@
         account: str,
         zones: Collection[str] | None = None,
     ) -> list[BackendReport]:
-        """Return the servers that may run an account's requests.
+        """Return the servers that may run the requests of an account.
 
-        A share of them, where the account is confined: all gateways keep it to the same
-        ones, so that the other accounts lose no more to it.
+        If the account is confined, these are a share of the servers, the same at all gateways,
+        so that crashes that it causes affect other accounts no further.
 
-        :param zones: where they may run; None: anywhere.
+        :param zones: zones in which the servers may be; None: all zones.
         """
         servers = self.view.serving(service)
         if zones is not None:
             servers = [server for server in servers if server.zone in zones]
-        owner = (account, service)
-        if owner not in self.quarantine.confined:
+        key = (account, service)
+        if key not in self.quarantine.confined:
             return servers
-        return self.confinement.among(owner, servers)
+        return self.confinement.select(key, servers)
 
     def is_serving(self, server: BackendReport) -> bool:
-        """Return whether a server takes new work."""
+        """Return whether a server accepts new requests."""
         return any(known.instance == server.instance for known in self.view.serving(server.service))
 
     def add_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Learn of further control hosts."""
+        """Add further control hosts."""
         self.addresses.extend(one for one in addresses if one not in self.addresses)
 
     async def run(self) -> None:
-        """Follow whoever leads."""
+        """Watch the current leader, or search for it."""
         next_index = 0
-        while True:  # noqa: WPS457 - ends with the role
+        while True:  # noqa: WPS457 - runs until the role stops
             address = self.leader
             if not address:
                 address = self.addresses[next_index % len(self.addresses)]
@@ -165,7 +170,7 @@
                 await asyncio.sleep(_RETRY_DELAY_S)
 
     def apply(self, news: WatchNews) -> None:
-        """Take in what is newer."""
+        """Apply the changes in a watch reply that are newer than the local state."""
         if news.number > self.newest_number:
             self.newest_number = news.number
             self.newest_seen_at = self.node.clock.now()
@@ -190,13 +195,13 @@
             self.tasks.spawn(self._fetch_newest())
 
     async def apply_document(self, document: bytes) -> None:
-        """Serve by a document if it is newer, and confirm it."""
+        """Switch to a routing document if it is newer, and confirm it."""
         try:
             table = decode_manifest(document)
         except FindingsError as error:
-            # It was checked before it was accepted, so this is a fault of ours;
-            # the routes of before stay, and it isn't fetched over and over.
-            logger.error('accepted document can not be read: %s', error)
+            # The leader validated the document before it accepted it, so this is a bug. The
+            # previous routes stay in use, and the document is not fetched again.
+            logger.error('accepted document is invalid, keeping the previous routes: %s', error)
             self.newest_number = self.table.number
             return
         if table.number <= self.table.number:
@@ -214,17 +219,17 @@
         await self._confirm()
 
     async def wait_for_routes(self, limit_s: float) -> None:
-        """Return once there are routes, or after ``limit_s``.
+        """Return once a routing table is available, or after ``limit_s``.
 
-        A process that has just started has them within an election; a client
-        that is turned away comes back later than that.
+        A process that has just started has one within the duration of an election; a client
+        that is refused would retry later than that.
         """
         try:
             async with asyncio.timeout(limit_s):
                 while not self.table.number:
                     await self.update_event.wait()
         except asyncio.TimeoutError:
-            logger.debug('no routes after %s s', limit_s)
+            logger.debug('no routing table received within %s s', limit_s)
 
     async def _watch(self, address: str) -> bool:
         is_current = self.is_connected and address == self.leader
@@ -253,10 +258,10 @@
         return bool(reply.leader)
 
     def _apply_quarantine(self, news: WatchNews) -> None:
-        """Hold to the leader's verdicts.
+        """Apply the verdicts of the leader.
 
-        A leader that has just begun may lack the last ones of the one before; until it
-        has heard all gateways, those stay in force too.
+        A new leader may lack the latest verdicts of its predecessor; they stay in force until
+        it has received reports from all gateways.
         """
         if news.quarantine is None:
             return
@@ -284,7 +289,7 @@
         )
 
     def _mark_zones_cold(self, zones: set[str]) -> None:
-        """Take the servers of zones that are used again for cold: they may have started."""
+        """Treat the servers of restored zones as cold: they may have restarted."""
         now = self.node.clock.now()
         for report in self.view.backends.values():
             service = self.table.services.get(report.service)
@@ -292,7 +297,7 @@
                 self.cold_servers.mark_cold(report.instance, now + service.cold.length_s)
 
     def _prune(self, news: WatchNews) -> None:
-        """Drop what a directory that is complete doesn't have."""
+        """Remove servers that a complete directory does not contain."""
         if news.whole:
             self.cursor.pruned_in_epoch = news.epoch
             self.view.keep_only({report.instance for report in news.reports})
@@ -300,14 +305,14 @@
             self.epoch = ''
 
     async def _fetch_newest(self) -> None:
-        """Fetch documents until the newest that was heard of is in force."""
+        """Fetch documents until the latest announced one is in use."""
         try:
             while self.newest_number > self.table.number:
                 number = self.newest_number
-                document = await self.fetcher.run(
+                document = await self.fetcher.fetch(
                     self._document_hosts(),
                     number=number,
-                    held=(self.table.number, self.document),
+                    current=(self.table.number, self.document),
                 )
                 if document is None:
                     await asyncio.sleep(_RETRY_DELAY_S)
@@ -317,20 +322,20 @@
             self.fetcher.is_running = False
 
     def _document_hosts(self) -> list[str]:
-        """Return where documents are, the leader first."""
+        """Return the hosts to fetch documents from, the leader first."""
         others = [address for address in self.addresses if address != self.leader]
         return [self.leader, *others] if self.leader else others
 
     async def _confirm(self) -> None:
-        """Tell the leader, which may hold an acknowledgement back for this."""
+        """Confirm the document to the leader, which may delay an acknowledgement for this."""
         if not self.leader:
             return
         confirmation = Confirmation(gateway=self.state, number=self.table.number)
         try:
             await self.client.call(self.leader, CONFIRM, confirmation, timeout_s=_CONFIRM_S)
         except UnreachableError as error:
-            # The next watch says it too.
-            logger.debug('not confirmed: %s', error)
+            # The next watch call confirms the document as well.
+            logger.debug('confirmation of the document was not delivered: %s', error)
 
     def _notify_change(self) -> None:
         self.on_change()
--- a/ringseam/gateway/following/guard.py
+++ b/ringseam/gateway/following/guard.py
@@ -1,8 +1,8 @@
-"""Guarding backend servers from contents that end each server that runs them.
+"""Protection of backend servers against contents that crash every server that runs them.
 
-A gateway tells the leader what was under way on a server that has ended, and holds to
-the verdicts that the leader gives out. Without a leader it judges by what it has seen
-itself: three servers a gateway.
+A gateway reports to the leader what was in flight on a crashed server, and enforces the
+verdicts of the leader. Without a leader it decides on its own observations, which costs three
+servers per gateway.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
 
 logger = logging.getLogger(__name__)
 
-#: A suspected content whose run is under way may come back after this, seconds: most
-#: runs take less, and its client loses little time.
+#: Delay after which a client may retry a suspected content whose trial run is in progress,
+#: seconds: most runs are shorter, and the client loses little time.
 RETRY_AFTER_S = 1.0
 
 
-class QuarantineGuard:  # noqa: WPS214 - what a gateway sees and holds to
-    """Evidence of this gateway, and the verdicts it holds to."""
+class QuarantineGuard:  # noqa: WPS214 - evidence and verdicts in one place
+    """Evidence that this gateway collects, and the verdicts that it enforces."""
 
     def __init__(
         self,
@@ -56,16 +56,16 @@
         health: HealthTracker,
         pool: ChannelPool,
     ) -> None:
-        """Tell the leader that ``follower`` follows."""
+        """Report to the leader that ``follower`` is connected to."""
         self.node = node
         self.clock = node.clock
         self.client = client
         self.follower = follower
         self.served = RecentAnswers()
-        #: What this gateway would judge by itself.
+        #: Verdicts based only on the observations of this gateway.
         self.local_quarantine = Quarantine()
         self.tasks = TaskSet()
-        #: When suspected contents were last under way on a server that ended.
+        #: When suspected contents were last in flight on a server that crashed.
         self.last_crash_at: dict[ContentId, float] = {}
         self.crashes = CrashReporter(
             node=node,
@@ -76,14 +76,14 @@
             served=self.served,
             on_crash=self._on_crash,
         )
-        #: The news and the leadership that were last looked at.
+        #: The quarantine and the epoch that were last applied.
         self.applied_news = QuarantineSnapshot(version=0)
         self.epoch = ''
 
-    # -- what is sent and what becomes of it --------------------------------
+    # -- evidence -----------------------------------------------------------
 
     def record_success(self, server: BackendReport, content: ContentId) -> None:
-        """Hear that a server has record_success a content with success: it bears it."""
+        """Record that a server answered a content successfully, so it survives the content."""
         now = self.clock.now()
         self.served.record(content, server.software, now)
         if (
@@ -94,7 +94,7 @@
             self.crashes.clear_content(content, server.software)
             self._report_served(content, server.software)
 
-    # -- what may run -------------------------------------------------------
+    # -- admission ----------------------------------------------------------
 
     async def admit(self, context: RequestContext) -> TrialState:
         """Return whether a request may be sent to a server now."""
@@ -115,13 +115,13 @@
         return state
 
     def end_trial(self, context: RequestContext) -> None:
-        """Hear that a run on trial has shown itself, or is over: another one may begin."""
+        """Release the trial run of a request that has answered or finished."""
         if context.trial_at is not None:
             context.trial_at = None
             self.tasks.spawn(self._release_trial(context.content_id))
 
     def may_process_pieces(self, content: ContentId, *, trial_at: float | None) -> bool:
-        """Return whether pieces of a request may be made."""
+        """Return whether pieces of a request may be processed."""
         if self.is_quarantined(content):
             return False
         if trial_at is not None:
@@ -129,17 +129,17 @@
         return not self._is_suspected(content)
 
     def is_quarantined(self, content: ContentId) -> bool:
-        """Return whether a content is known to end servers."""
+        """Return whether a content is known to crash servers."""
         if content in self.follower.quarantine.quarantined:
             return True
         return not self.follower.is_connected and content in self.local_quarantine.verdicts
 
-    # -- what the leader tells ----------------------------------------------
+    # -- updates ------------------------------------------------------------
 
     def apply_quarantine(self) -> None:
-        """Take in what the follower has heard."""
+        """Apply the quarantine and the epoch that the follower has received."""
         news = self.follower.quarantine
-        # Empty while the whole directory is asked for: the leader is the same.
+        # The epoch is empty while the full directory is requested from the same leader.
         if self.follower.epoch not in {'', self.epoch}:
             self.epoch = self.follower.epoch
             self.crashes.leader_changed()
@@ -160,7 +160,7 @@
                 self._report_served(known, software)
 
     def evaluate(self) -> None:
-        """Judge by what was seen here, for times without a leader."""
+        """Evaluate local evidence, for times without a leader, and run periodic work."""
         now = self.clock.now()
         self.local_quarantine.evaluate(now)
         self.crashes.tick(now)
@@ -170,10 +170,10 @@
     # -- helpers ------------------------------------------------------------
 
     def _is_trial_valid(self, content: ContentId, trial_at: float) -> bool:
-        """Return whether no server has ended under a run on trial.
+        """Return whether no server has crashed during the trial run.
 
-        One run is what was granted; a retry would cost another server, as the verdict
-        falls a little later.
+        Only one run was granted; a retry would cost another server, as the verdict follows
+        slightly later.
         """
         return self.last_crash_at.get(content, float('-inf')) < trial_at
 
@@ -194,14 +194,14 @@
         )
 
     async def _request_trial(self, content: ContentId, duration_s: float) -> TrialState:
-        """Ask for a run on trial; without a leader what was seen here decides."""
+        """Request a trial run; without a leader local evidence decides."""
         if self.follower.is_connected:
             await self.crashes.flush()
             return await self._request_trial_from_leader(content, duration_s)
         return self.local_quarantine.request_run(content, self.clock.now(), duration_s)
 
     async def _release_trial(self, content: ContentId) -> None:
-        """Let another run on trial begin."""
+        """Allow another trial run to start."""
         self.local_quarantine.finish_trial(content)
         if self.follower.is_connected:
             await self._send_trial_end(content)
@@ -216,7 +216,7 @@
                 timeout_s=LEADER_CALL_S,
             )
         except UnreachableError as error:
-            logger.debug('trial not asked: %s', error)
+            logger.debug('trial run could not be requested: %s', error)
             return TrialState.busy
         reply = received.body.reply
         return TrialState.busy if isinstance(reply, Redirect) else TrialState(reply.state)
@@ -233,12 +233,12 @@
                 self.follower.leader, REPORT_SERVED, report, timeout_s=LEADER_CALL_S
             )
         except UnreachableError as error:
-            logger.debug('answer not told: %s', error)
+            logger.debug('report of a served content was not delivered: %s', error)
 
     async def _send_trial_end(self, content: ContentId) -> None:
         request = TrialRequest(content=content, over=True)
         try:
             await self.client.call(self.follower.leader, TRIAL, request, timeout_s=LEADER_CALL_S)
         except UnreachableError as error:
-            # The leader takes it for over at the request's deadline.
-            logger.debug('end of a trial not told: %s', error)
+            # The leader considers the run finished at the deadline of the request.
+            logger.debug('end of a trial run was not reported: %s', error)
--- a/ringseam/gateway/following/health.py
+++ b/ringseam/gateway/following/health.py
@@ -1,4 +1,4 @@
-"""What a gateway has seen of each backend server: failures, speed, own load."""
+"""Health of each backend server as this gateway observes it: failures, latency and load."""
 
 from __future__ import annotations
 
@@ -9,34 +9,36 @@
 if TYPE_CHECKING:
     from ringseam.backends import BackendId
 
-#: Evidence loses half of its weight in this time, seconds.
+#: Recorded successes and failures lose half of their weight in this time, seconds.
 _EVIDENCE_HALF_LIFE_S = 4.0
-#: This many recent failures, and this failure_share of them, eject a server.
+#: A server is ejected for at least this many recent failures that are at least this share of
+#: its recent calls.
 _MIN_FAILURES_TO_EJECT = 1.6
 _MIN_FAILURE_SHARE_TO_EJECT = 0.2
-#: First ejection and the longest one, seconds; each in a row doubles.
+#: Duration of the first ejection and maximum duration, seconds; each consecutive ejection lasts
+#: twice as long.
 _FIRST_EJECTION_S = 1.5
 _MAX_EJECTION_S = 6.0
-#: Weight of the newest observation in a running mean.
+#: Weight of the newest observation in the moving average of latency.
 _MEAN_WEIGHT = 0.25
-#: The same for slowness: calls of stages are few, a slow one must show at once.
+#: The same for slowness: stage calls are few, so one slow call must have an effect at once.
 _SLOWNESS_WEIGHT = 0.5
-#: What a server was slower than expected loses half of its weight in this time
-#: without another call, seconds, so that it is tried again.
+#: Without further calls the slowness of a server decays by half in this time, seconds, so that
+#: the server is tried again.
 _SLOWNESS_HALF_LIFE_S = 3.0
 
 
 @dataclass(kw_only=True)
 class ServerHealth:
-    """Evidence about one backend server; ``slowness`` is against the expected."""
+    """Health of one backend server; ``slowness`` is relative to the expected duration."""
 
     successes: float = 0
     failures: float = 0
     decayed_at: float = 0
     ejected_until: float = float('-inf')
-    #: Whether it left a call without an answer and has given none since.
+    #: Whether it left a call unanswered and has answered none since.
     unresponsive: bool = False
-    #: When it could last not be reached at all.
+    #: When it was last found to be unreachable.
     unreachable_at: float = float('-inf')
     ejections: int = 0
     in_flight: int = 0
@@ -48,12 +50,12 @@
     reported_at: float = float('-inf')
 
     def slowness_at(self, now: float) -> float:
-        """Return how many times longer than expected calls take, by faded evidence."""
+        """Return the ratio of actual to expected call duration, decayed towards 1."""
         faded = math.exp2(-(now - self.slowness_updated_at) / _SLOWNESS_HALF_LIFE_S)
         return 1 + (self.slowness - 1) * faded
 
     def decay(self, now: float) -> None:
-        """Let evidence fade."""
+        """Decay the weight of recorded successes and failures."""
         factor = math.exp2(-(now - self.decayed_at) / _EVIDENCE_HALF_LIFE_S)
         self.successes *= factor
         self.failures *= factor
@@ -62,18 +64,18 @@
 
 @dataclass(kw_only=True)
 class HealthTracker:
-    """Standings by backend server."""
+    """Health of all backend servers."""
 
     by_server: dict[BackendId, ServerHealth] = field(default_factory=dict)
 
     def of(self, instance: BackendId) -> ServerHealth:
-        """Return a server's record."""
+        """Return the health of a server."""
         if instance not in self.by_server:
             self.by_server[instance] = ServerHealth()
         return self.by_server[instance]
 
     def record_success(self, instance: BackendId, now: float) -> None:
-        """Count a whole answer."""
+        """Count a complete response."""
         record = self.of(instance)
         record.decay(now)
         record.successes += 1
@@ -82,14 +84,14 @@
             record.ejections = 0
 
     def record_timeout(self, instance: BackendId, now: float) -> bool:
-        """Count a call that was not answered in time; True when it ejects the server."""
+        """Count a call that was not answered in time; return whether it ejects the server."""
         self.of(instance).unresponsive = True
         return self.record_failure(instance, now)
 
     def record_failure(self, instance: BackendId, now: float, *, hard: bool = False) -> bool:
-        """Count a failure; True when it ejects the server.
+        """Count a failure; return whether it ejects the server.
 
-        A hard failure, such as a refused connection, ejects at once.
+        A hard failure, such as a refused connection, ejects the server immediately.
         """
         record = self.of(instance)
         record.decay(now)
@@ -109,19 +111,19 @@
         return True
 
     def record_latency(self, instance: BackendId, latency_s: float) -> None:
-        """Take in how long an answer record_latency."""
+        """Update the mean latency with that of a response."""
         record = self.of(instance)
         record.latency_s += _MEAN_WEIGHT * (latency_s - record.latency_s)
 
     def record_slowness(self, instance: BackendId, ratio: float, now: float) -> None:
-        """Take in how many times longer than expected a call record_latency."""
+        """Update the slowness with the ratio of actual to expected duration of a call."""
         record = self.of(instance)
         current = record.slowness_at(now)
         record.slowness = current + _SLOWNESS_WEIGHT * (ratio - current)
         record.slowness_updated_at = now
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget servers that are gone."""
+        """Remove all servers except ``instances`` and those with requests in flight."""
         for instance in set(self.by_server) - instances:
             if not self.by_server[instance].in_flight:
                 self.by_server.pop(instance)
--- a/ringseam/gateway/following/inflight.py
+++ b/ringseam/gateway/following/inflight.py
@@ -1,4 +1,4 @@
-"""What is under way on each backend server; a plain class."""
+"""Requests in flight on each backend server, without any I/O."""
 
 from __future__ import annotations
 
@@ -12,28 +12,29 @@
 
 @dataclass(kw_only=True)
 class InFlightRequests:
-    """Requests that a server may have begun, by the server's lifetime."""
+    """Requests that a server may have started, by server instance."""
 
     by_server: dict[BackendId, dict[str, Suspect]] = field(default_factory=dict)
 
     def add(self, instance: BackendId, attempt_id: str, suspect: Suspect) -> None:
-        """Hear that a request is add."""
+        """Record a request that is sent to a server."""
         self.by_server.setdefault(instance, {})[attempt_id] = suspect
 
     def remove(self, instance: BackendId, attempt_id: str) -> None:
-        """Hear that a request has ended there, however it did."""
+        """Remove a request that has finished on a server, with any outcome."""
         attempts = self.by_server.get(instance, {})
         attempts.pop(attempt_id, None)
         if not attempts:
             self.by_server.pop(instance, None)
 
     def of(self, instance: BackendId) -> set[Suspect]:
-        """Return what is under way on a server."""
+        """Return the suspects of the requests in flight on a server."""
         return set(self.by_server.get(instance, {}).values())
 
     def pop_all(self, instance: BackendId) -> set[Suspect]:
-        """Return what was under way on a server that has ended, once.
+        """Remove and return what was in flight on a server that has crashed.
 
-        A connection whose end is lost breaks seconds later; it is no second end.
+        A connection whose reset was lost breaks seconds later; as nothing is left by then, it
+        does not count as a second crash.
         """
         return set(self.by_server.pop(instance, {}).values())
--- a/ringseam/gateway/following/ownership.py
+++ b/ringseam/gateway/following/ownership.py
@@ -1,4 +1,4 @@
-"""Which gateway decides for a service, by rendezvous hashing over all."""
+"""Choice of the gateway that decides for each service, by rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -11,35 +11,36 @@
     from ringseam.backends import GatewayState
     from ringseam.gateway.following.follower import Follower
 
-#: Gateways that are behind are passed over while this share of all are not.
+#: Gateways that lag are not chosen as owners while at least this share of all gateways does not
+#: lag.
 _MIN_RESPONSIVE_SHARE = 0.5
-#: A gateway that was an owner may have calls under way for this long after
-#: another took its place, seconds: two calls that wait at a server and their like.
+#: A previous owner may have calls in flight for this long after it was replaced, seconds: it
+#: covers two calls that are queued at a server.
 _SETTLE_S = 2.0
 
 
 class Ownership:
-    """Name the deciding gateway of each service."""
+    """Determine the owner of each service: the gateway that decides for it."""
 
     def __init__(self, *, follower: Follower, name: str) -> None:
-        """Know the gateways that ``follower`` hears of."""
+        """Use the gateways that ``follower`` knows."""
         self.follower = follower
         self.name = name
-        #: The gateways that :attr:`owners` was worked out for.
+        #: The gateways for which :attr:`owners` was computed.
         self.gateways: tuple[GatewayState, ...] = ()
-        #: Addresses by service. Working one out over 68 gateways takes 80 us, and a
-        #: request asks a dozen times.
+        #: Cached owner addresses by service. Computing one over 68 gateways takes 80 us, and
+        #: each request needs about a dozen.
         self.owners: dict[str, str] = {}
-        #: Since when this gateway decides for a service, and no gateway before it may
-        #: still have calls under way: one that stops, or is behind.
+        #: Since when this gateway owns a service and no draining or lagging gateway that
+        #: precedes it may still have calls in flight.
         self.sole_since: dict[str, float] = {}
 
     def is_present(self, address: str) -> bool:
-        """Return whether a gateway is still there, be it on its way out."""
+        """Return whether a gateway is a member, even if it is draining."""
         return any(state.address == address for state in self.follower.gateways)
 
     def refresh(self) -> None:
-        """Look which gateways there are; owners change with them."""
+        """Discard computed owners if the gateways have changed."""
         if self.follower.gateways == self.gateways:
             return
         self.gateways = self.follower.gateways
@@ -49,16 +50,16 @@
                 self.sole_since.pop(service)
 
     def owner_of(self, service: str) -> str:
-        """Return the address of the deciding gateway; empty: this one."""
+        """Return the address of the owner of a service; empty: this gateway."""
         self.refresh()
         if service not in self.owners:
             self.owners[service] = self._compute_owner(service)
         return self.owners[service]
 
     def is_settled(self, service: str, now: float) -> bool:
-        """Return whether no other gateway has decided for a service for a while.
+        """Return whether this gateway has been the only owner of a service for a while.
 
-        Gateways that come and go change nothing for services that others decide for.
+        Gateways that join or leave do not affect services that they do not own.
         """
         if self.owner_of(service):
             return False
@@ -75,7 +76,7 @@
     def _compute_owner(self, service: str) -> str:
         staying = [state for state in self.gateways if not state.draining]
         responsive = [state for state in staying if not state.busy]
-        # While most are behind, another owner would be no better.
+        # If most gateways lag, another owner would be no better.
         if len(responsive) >= _MIN_RESPONSIVE_SHARE * len(staying):
             staying = responsive
         if not staying:
@@ -86,7 +87,7 @@
 
 
 def rendezvous(key: str, names: Collection[str]) -> str:
-    """Return the name that highest-random-weight hashing gives to ``key``.
+    """Return the name that highest-random-weight hashing selects for ``key``.
 
     Source: Thaler and Ravishankar, "A Name-Based Mapping Scheme", 1998.
     """
@@ -94,7 +95,7 @@
 
 
 def rendezvous_order(key: str, names: Collection[str]) -> list[str]:
-    """Return all names, by :func:`rendezvous` without those before."""
+    """Return all names in descending order of their weight for ``key``."""
     return sorted(names, key=lambda name: _weight(key, name), reverse=True)
 
 
--- a/ringseam/gateway/following/pacing.py
+++ b/ringseam/gateway/following/pacing.py
@@ -1,7 +1,7 @@
-"""How fast requests may go to backend servers that bear little; a plain class.
+"""Pacing of requests to backend servers with little capacity, without any I/O.
 
-A server that has just started ends under a rate of requests that it bears later, and a
-server in need names the rate that it takes from all gateways together.
+A server that has just started fails under a request rate that it sustains once it is warm, and
+an overloaded server announces the rate that it accepts from all gateways together.
 """
 
 from __future__ import annotations
@@ -23,67 +23,66 @@
     from ringseam.gateway.following.limits import RateLimit
     from ringseam.routes import ColdSpec
 
-#: A server that ended is out of the directory or has reported its new start after this
-#: long, seconds.
+#: A server that crashed has been removed from the directory or has reported its restart after
+#: this long, seconds.
 _RESTART_REPORT_S = 4.5
-#: The part of the bound that is used where a server isn't known to be cold: it may have
-#: become so since its last report, and requests of one second may arrive within less.
+#: Share of the bound that is used for a server that is not known to be cold: it may have turned
+#: cold since its last report, and the requests of one second may arrive within a shorter time.
 _UNREPORTED_COLD_SHARE = 0.8
 _COLD_WINDOW_S = 1.0
-#: Sends are remembered for as long as a limit that is named now looks back, seconds.
+#: Sends are kept for as long as a limit that is announced now looks back, seconds.
 _RETENTION_S = WINDOW_S + PRE_LIMIT_S
-#: How long a request may wait for its next_send_at at a server with a limit, seconds, by its
-#: priority: the less urgent leave the later turns to the others.
+#: How long a request may wait for a permit at a rate-limited server, seconds, by priority: less
+#: urgent requests leave the later permits to more urgent ones.
 _MAX_WAITS_S = (1.0, 0.6, 0.3)
 _NEVER = float('inf')
 
 
 def max_wait_s(priority: int) -> float:
-    """Return how long a request may wait for its next_send_at at a server with a limit."""
+    """Return how long a request may wait for a permit at a rate-limited server."""
     return _MAX_WAITS_S[min(priority, len(_MAX_WAITS_S) - 1)]
 
 
 @dataclass(frozen=True, kw_only=True)
 class PacingShare:
-    """What one of the gateways that decide by themselves may send to a server."""
+    """Share of a cold server that a gateway uses while gateways decide independently."""
 
-    #: From one request to the next, seconds.
+    #: Interval between requests, seconds.
     interval_s: float
-    #: How long after a cold server is warm the first may go, seconds; None: at once.
+    #: Delay of the first request after the server is warm, seconds; None: no delay.
     delay_after_warm_s: float | None = None
 
 
 @dataclass(kw_only=True)
 class Pacer:
-    """When the next request may go to a server, as far as this gateway decides.
+    """Determines when this gateway may send the next request to a server.
 
-    A cold server gets one request after the other, evenly spaced, and so does one that
-    names a limit. Any other gets no more in a second than it would bear if it had turned
-    cold unnoticed.
+    Requests to a cold server or a rate-limited server are evenly spaced. Any other server gets
+    no more per second than it would sustain if it had turned cold since its last report.
 
-    Gateways that decide by themselves share a cold server evenly. They don't know each
-    other's last request, and each may send one more than its share in some second, so
-    only as many reserve part as that allows; the others window_start, one after the other, once the
-    server is warm. The limit of a server is held by the owner of its service; gateways
-    that can't reach the owner share what the limit leaves beside it.
+    Gateways that decide independently share a cold server evenly. They do not know when the
+    others last sent, and each may exceed its share by one request in some second, so only as
+    many gateways take part as that allows; the others start one by one once the server is warm.
+    The rate limit of a server is enforced by the owner of its service; gateways that cannot
+    reach the owner share the part of the limit that the owner does not use.
     """
 
-    #: This gateway, as its peers name it.
+    #: Name of this gateway, as in ``peers``.
     name: str = ''
     cold_servers: ColdServers = field(default_factory=ColdServers)
     health: HealthTracker = field(default_factory=HealthTracker)
     limits: RateLimitTracker = field(default_factory=RateLimitTracker)
-    #: The pauses that servers asked this gateway for; other gateways have their own.
+    #: Pauses that servers requested from this gateway; other gateways have their own.
     pauses: PauseTracker = field(default_factory=PauseTracker)
-    #: What a cold server bears: ``overload_factor`` times the rate that its service names, and
-    #: ``burst_allowance`` requests besides, in any second.
+    #: A cold server sustains, in any second, ``overload_factor`` times the rate configured for
+    #: its service plus ``burst_allowance`` requests.
     overload_factor: float = 1.5
     burst_allowance: float = 5
-    #: When the last request goes to each server.
+    #: Time of the last request to each server.
     last_send_at: dict[BackendId, float] = field(default_factory=dict)
-    #: When requests were let go recent_sends, oldest first.
+    #: Times of recent requests to each server, in ascending order.
     recent_sends: dict[BackendId, list[float]] = field(default_factory=dict)
-    #: The share of this gateway, as long as ``peers`` are the same.
+    #: Shares of this gateway, valid while ``peers`` is unchanged.
     shares: dict[BackendId, PacingShare] = field(default_factory=dict)
     peers: Collection[str] = ()
 
@@ -97,8 +96,8 @@
     ) -> float:
         """Return how long a request has to wait because a server is cold, seconds.
 
-        :param peers: names of all gateways that send to this server by a pace of their
-            own, this one among them; none where this one decides alone.
+        :param peers: names of all gateways that pace this server independently, including this
+            one; empty if this gateway decides alone.
         """
         if spec is None:
             return 0
@@ -114,10 +113,12 @@
         *,
         peers: Collection[str] = (),
     ) -> float:
-        """Return how long a request has to wait for a server's limit, seconds.
+        """Return how long a request has to wait for the rate limit of a server, seconds.
 
-        :param peers: names of all gateways, where this one decides beside the owner of
-            the service; none where it is the owner. Infinite: it has no share.
+        Infinity means that this gateway has no share of the limit.
+
+        :param peers: names of all gateways if this one sends without a permit from the owner of
+            the service; empty if this one is the owner.
         """
         limit = self.limits.of(instance)
         if limit is None:
@@ -133,7 +134,7 @@
         return max(0, next_send_at - now, self._limit_window_wait_s(instance, limit, now))
 
     def call_wait_s(self, instance: BackendId, now: float) -> float:
-        """Return how long a call of this gateway, the owner, has to wait, seconds."""
+        """Return how long a call has to wait if this gateway is the owner, seconds."""
         return max(self.pauses.remaining_s(instance, now), self.limit_wait_s(instance, now))
 
     def reserve(
@@ -144,7 +145,7 @@
         *,
         peers: Collection[str] = (),
     ) -> float:
-        """Let a request go and return when, in seconds from now."""
+        """Reserve the next send time and return how far ahead it is, seconds."""
         wait_s = max(
             self.cold_wait_s(instance, spec, now, peers=peers),
             self.limit_wait_s(instance, now, peers=peers),
@@ -153,24 +154,24 @@
         return wait_s
 
     def record_send(self, instance: BackendId, at: float) -> None:
-        """Hear that a request goes to a server, now or soon."""
+        """Record that a request is sent to a server at ``at``, which may be in the future."""
         self.last_send_at[instance] = max(at, self.last_send_at.get(instance, at))
         self.record_requests(instance, at)
 
     def record_requests(self, instance: BackendId, at: float, requests: int = 1) -> None:
-        """Count requests that reserve no next_send_at, or that another gateway has sends."""
+        """Count requests that reserved no send time or were sent by other gateways."""
         sends = self.recent_sends.setdefault(instance, [])
         del sends[: bisect.bisect_left(sends, at - _RETENTION_S)]  # noqa: WPS420 - drops a slice
         for _ in range(requests):
             bisect.insort(sends, at)
 
     def count_since(self, instance: BackendId, since: float) -> int:
-        """Return how many requests were let go since then; see ``PRE_LIMIT_S``."""
+        """Return how many requests were sent since ``since``; see ``PRE_LIMIT_S``."""
         sends = self.recent_sends.get(instance, [])
         return len(sends) - bisect.bisect_left(sends, since)
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget servers that are gone, and shares: a service may name another rate by now."""
+        """Remove other servers, and all shares: the rate of a service may have changed."""
         self.cold_servers.keep_only(instances)
         self.shares.clear()
         for instance in set(self.recent_sends) - instances:
@@ -183,7 +184,7 @@
         return max(restarted_cold_until, self.cold_servers.cold_until(instance, spec))
 
     def _next_send_at(self, instance: BackendId, spec: ColdSpec, peers: Collection[str]) -> float:
-        """Return when this gateway may send next to a cold server."""
+        """Return when this gateway may next send to a cold server."""
         share = self._share(instance, spec, peers)
         next_send_at = self.last_send_at.get(instance, -_NEVER) + share.interval_s
         if share.delay_after_warm_s is None:
@@ -191,7 +192,7 @@
         return max(next_send_at, self._cold_until(instance, spec) + share.delay_after_warm_s)
 
     def _share(self, instance: BackendId, spec: ColdSpec, peers: Collection[str]) -> PacingShare:
-        """Return what this gateway may send to a server while it is cold."""
+        """Return the share of this gateway in a server while it is cold."""
         if not peers:
             return PacingShare(interval_s=1 / spec.per_s)
         if peers != self.peers:
@@ -207,7 +208,7 @@
         spec: ColdSpec,
         peers: Collection[str],
     ) -> PacingShare:
-        """Return this gateway's share of a server; all peers find the same order."""
+        """Compute the share of this gateway; all peers compute the same order."""
         order = rendezvous_order(instance, peers)
         max_gateways = max(1, int(self._max_per_window(spec) - spec.per_s))
         rank = order.index(self.name)
@@ -219,20 +220,20 @@
         )
 
     def _max_per_window(self, spec: ColdSpec) -> float:
-        """Return what a cold server bears in any second."""
+        """Return how many requests a cold server sustains in any second."""
         return spec.per_s * self.overload_factor + self.burst_allowance
 
     def _cold_window_wait_s(self, instance: BackendId, spec: ColdSpec, now: float) -> float:
-        """Return how long it takes until the last second's requests are few enough."""
+        """Return how long until the requests of the last second are few enough."""
         max_sends = max(1, int(_UNREPORTED_COLD_SHARE * self._max_per_window(spec)))
         sends = self.recent_sends.get(instance, [])
         return sends[-max_sends] + _COLD_WINDOW_S - now if len(sends) >= max_sends else 0
 
     def _limit_window_wait_s(self, instance: BackendId, limit: RateLimit, now: float) -> float:
-        """Return how long it takes until a limit's window has room, seconds.
+        """Return how long until the window of a rate limit has room, seconds.
 
-        What was sends before the limit was named counts, as far as windows reach that are
-        bound by it.
+        Requests sent before the limit was announced count as far as the enforced windows reach
+        back.
         """
         sends = self.recent_sends.get(instance, [])
         max_sends = limit.max_in_window
--- a/ringseam/gateway/following/permitmessages.py
+++ b/ringseam/gateway/following/permitmessages.py
@@ -1,9 +1,11 @@
-"""Messages by which gateways share what servers say of their limits."""
+"""Messages by which gateways share the rate limits of backend servers."""
 
 from __future__ import annotations
 
 from typing import Optional
 
+import msgspec
+
 from ringseam.backends import BackendId
 from ringseam.messages import Message
 from ringseam.routes import ServiceName
@@ -11,33 +13,35 @@
 
 
 class LimitReport(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """What a server said last of its limit, and how long ago."""
+    """The latest rate limit that a server has announced, and how long ago."""
 
     instance: BackendId
-    #: Requests a second; None: no limit any more.
+    #: Requests per second; None: the limit is lifted.
     per_s: Optional[float] = None
     age_ms: int = 0
 
 
 class PermitRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """A gateway asks for a turn at a server with a limit."""
+    """Request of a gateway to send one request to a rate-limited server."""
 
     service: ServiceName
     limit: LimitReport
     gateway: str
     #: How long the request may wait, milliseconds.
-    longest_ms: int
-    #: How many requests the gateway had sent in the last moments before it was told.
-    unheard: int = 0
+    max_wait_ms: int = msgspec.field(name='longest_ms')
+    #: How many requests the gateway sent in the last ``PRE_LIMIT_S`` before it learned of the
+    #: limit.
+    sent_before_limit: int = msgspec.field(default=0, name='unheard')
 
 
 class PermitReply(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """When the turn is, or what is known better."""
+    """Whether the permit is granted, when to send, and the limit that the owner knows."""
 
     granted: bool = False
-    #: How long until the turn, or until there may be one, seconds.
+    #: How long until the request may be sent or, without a permit, until one may be available,
+    #: seconds.
     wait_s: float = 0
-    #: What the owner knows of the limit.
+    #: The limit as the owner knows it.
     limit: Optional[LimitReport] = None
 
 
--- a/ringseam/gateway/following/serverwords.py
+++ b/ringseam/gateway/following/serverwords.py
@@ -1,4 +1,4 @@
-"""What backend servers say of themselves in the heads of their answers."""
+"""Notices that backend servers send in the headers of their responses."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 
 class ServerNotices:
-    """Hear each answer's head, whatever the call was, and keep what it says."""
+    """Record the notices in the headers of every response, whatever the call was."""
 
     def __init__(self, *, node: Node, metrics: Metrics, view: BackendView) -> None:
-        """Know nothing of any server; ``view`` hears which ones leave."""
+        """Start without notices; ``view`` is updated with servers that are leaving."""
         self.node = node
         self.clock = node.clock
         self.metrics = metrics
         self.view = view
         self.limits = RateLimitTracker()
         self.pauses = PauseTracker()
-        #: Servers that have said that they leave.
+        #: Servers that have announced that they are leaving.
         self.leaving: set[BackendId] = set()
-        #: Servers whose reported_unreadable words were logged.
+        #: Servers for which an unreadable limit has been logged.
         self.reported_unreadable: set[BackendId] = set()
 
     def record(self, instance: BackendId, marks: AnswerMarks) -> None:
-        """Take in what an answer says of its server; empty: it isn't known which."""
+        """Record the notices in a response; ``instance`` is empty if the server is unknown."""
         if not instance:
             return
         if marks.limit_unreadable:
@@ -55,7 +55,7 @@
             )
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget servers that are gone."""
+        """Remove all servers except ``instances``."""
         self.limits.keep_only(instances)
         self.pauses.keep_only(instances)
         self.leaving &= instances
@@ -94,7 +94,7 @@
             )
 
     def _log_unreadable_limit(self, instance: BackendId) -> None:
-        """Log an reported_unreadable limit once; what the server said before it still holds."""
+        """Log an unreadable limit once per server; the previous limit stays in effect."""
         if instance not in self.reported_unreadable:
             self.reported_unreadable.add(instance)
             self.node.events.emit(logger, Event.limit_unreadable, backend=instance)
--- a/ringseam/gateway/following/turns.py
+++ b/ringseam/gateway/following/turns.py
@@ -1,4 +1,4 @@
-"""PermitAllocator at backend servers that name a limit, given by the owner of their service."""
+"""Permits to send to rate-limited backend servers, granted by the owner of their service."""
 
 from __future__ import annotations
 
@@ -30,24 +30,25 @@
 
 logger = logging.getLogger(__name__)
 
-#: The owner is milliseconds away; a permit is sought without it after this, seconds.
+#: The round trip to the owner takes milliseconds; after this timeout the gateway decides
+#: locally, seconds.
 _OWNER_CALL_S = 0.06
-#: What is known of a limit that is over is reports this long, seconds: by then all gateways
-#: that send to the server have been reports by itself.
+#: A lifted limit is reported to other gateways for this long, seconds: by then all gateways
+#: that send to the server have learned it from its own responses.
 _LIFTED_REPORTED_S = 10.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class SendPermit:
-    """Whether a request may go to a server, and in how many seconds."""
+    """Whether a request may be sent to a server, and in how many seconds."""
 
     granted: bool
-    #: Without a permit: after how long there may be one.
+    #: Without a permit: after how long one may be available.
     wait_s: float = 0
 
 
 class PermitAllocator:
-    """Ask for turns, and give them out where this gateway owns the service."""
+    """Request permits from owners, and grant them for services that this gateway owns."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         ownership: Ownership,
         pacer: Pacer,
     ) -> None:
-        """Give out what ``pacer`` allows."""
+        """Grant permits as ``pacer`` allows."""
         self.node = node
         self.clock = node.clock
         self.client = client
@@ -66,17 +67,17 @@
         self.ownership = ownership
         self.pacer = pacer
         self.limits = pacer.limits
-        #: Gateways whose sends of before a limit have been counted_gateways, by server.
+        #: Gateways whose requests from before a limit have been counted, by server.
         self.counted_gateways: dict[BackendId, set[str]] = {}
 
     def register(self, server: CallServer) -> None:
-        """Answer other gateways that ask ``server``."""
+        """Register the handler for permit requests of other gateways with ``server``."""
         server.add(PERMIT, self.handle_request)
 
     async def acquire(self, server: BackendReport, max_wait_s: float) -> SendPermit:
-        """Return a permit at a server within ``max_wait_s``, if it has one left.
+        """Return a permit for a server within ``max_wait_s``, or a denial.
 
-        Who takes it counts the request in the pacer.
+        The caller records the request with the pacer.
         """
         limit = self.limits.of(server.instance)
         if limit is None:
@@ -91,12 +92,12 @@
         return SendPermit(granted=reply.granted, wait_s=reply.wait_s)
 
     async def handle_request(self, received: Received) -> PermitReply:
-        """Give a permit to another gateway."""
+        """Grant or deny a permit to another gateway."""
         request: PermitRequest = received.body
         instance = request.limit.instance
         self.merge_limits([request.limit])
-        self._count_pre_limit_sends(request)
-        permit = self._acquire_locally(instance, request.longest_ms / MS_PER_S, frozenset())
+        self._count_sent_before_limit(request)
+        permit = self._acquire_locally(instance, request.max_wait_ms / MS_PER_S, frozenset())
         if permit.granted:
             self.pacer.record_send(instance, self.clock.now() + permit.wait_s)
         known = self.limit_reports([instance])
@@ -107,7 +108,7 @@
         )
 
     def limit_reports(self, instances: Iterable[BackendId]) -> tuple[LimitReport, ...]:
-        """Return what is known of the limits of servers, as others are reports it."""
+        """Return the known rate limits of servers, as reports to other gateways."""
         if not self.limits.by_server:
             return ()
         now = self.clock.now()
@@ -120,14 +121,14 @@
         )
 
     def merge_limits(self, reports: Iterable[LimitReport]) -> None:
-        """Take in what other gateways know of limits."""
+        """Merge rate limits that other gateways have reported."""
         now = self.clock.now()
         for report in reports:
             stated_at = now - report.age_ms / MS_PER_S
             self.limits.merge(report.instance, report.per_s, stated_at=stated_at, now=now)
 
     def keep_only(self, instances: set[BackendId]) -> None:
-        """Forget servers that are gone or name no limit any more."""
+        """Remove servers that are gone or no longer have a rate limit."""
         self.counted_gateways = {
             name: gateways
             for name, gateways in self.counted_gateways.items()
@@ -149,30 +150,30 @@
         limit: RateLimit,
         max_wait_s: float,
     ) -> PermitReply | None:
-        """Return the owner's answer; None when it can't be reached."""
+        """Return the reply of the owner; None if it cannot be reached."""
         request = PermitRequest(
             service=server.service,
             limit=_limit_report(server.instance, limit, self.clock.now()),
             gateway=self.node.name,
-            longest_ms=int(max_wait_s * MS_PER_S),
-            unheard=self.pacer.count_since(server.instance, limit.since - PRE_LIMIT_S),
+            max_wait_ms=int(max_wait_s * MS_PER_S),
+            sent_before_limit=self.pacer.count_since(server.instance, limit.since - PRE_LIMIT_S),
         )
         try:
             received = await self.client.call(owner, PERMIT, request, timeout_s=_OWNER_CALL_S)
         except UnreachableError as error:
-            logger.debug('permit sought here: %s', error)
+            logger.debug('owner of the service is unreachable, deciding locally: %s', error)
             return None
         return received.body
 
-    def _count_pre_limit_sends(self, request: PermitRequest) -> None:
-        """Count what a gateway sent before it was reports, once for each limit."""
+    def _count_sent_before_limit(self, request: PermitRequest) -> None:
+        """Count what a gateway sent before it learned of a limit, once per limit."""
         instance = request.limit.instance
         limit = self.limits.of(instance)
         gateways = self.counted_gateways.setdefault(instance, set())
         if limit is None or request.gateway in gateways:
             return
         gateways.add(request.gateway)
-        self.pacer.record_requests(instance, limit.since, request.unheard)
+        self.pacer.record_requests(instance, limit.since, request.sent_before_limit)
 
 
 def _limit_report(instance: BackendId, limit: RateLimit, now: float) -> LimitReport:
--- a/tests/test_gateway/test_following/test_following_coldservers.py
+++ b/tests/test_gateway/test_following/test_following_coldservers.py
@@ -1,4 +1,4 @@
-"""What all gateways together send to a cold backend server in any second."""
+"""How many requests all gateways together send to a cold backend server in any second."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from ringseam.zones import DrainedZones
 
 COLD = ColdSpec(length_s=3, per_s=9)
-#: What a cold server bears in any second: 1.5 times its rate and 5 more.
+#: What a cold server sustains in any second: 1.5 times its rate and 5 more requests.
 MAX_PER_S = 18.5
 LLM = BackendService(
     name=ServiceName('llm'),
@@ -85,7 +85,7 @@
     st.integers(1, 40),
 )
 def test_no_second_has_more_than_a_cold_server_bears(gaps, turns_cold_at, gateways):
-    """It may turn cold unnoticed at any moment, and be news cold some time later."""
+    """The server may turn cold at any moment, and its report follows some time later."""
     pacers = [pacer(name=f'g{number}', e0=turns_cold_at + 3) for number in range(gateways)]
     peers = frozenset(each.name for each in pacers)
     now = 0.0
@@ -98,17 +98,18 @@
     assert most_in_a_second(sent) <= MAX_PER_S
 
 
-def test_server_of_a_service_without_such_a_time_is_never_held_back():
+def test_service_without_a_cold_time_is_not_paced():
     limited = pacer(e0=100)
     assert [limited.reserve(SERVER, None, 0) for _ in range(100)] == [0] * 100
 
 
 @pytest.mark.parametrize('cold', [0, 14, 28])
-def test_burst_while_a_zone_comes_back_cold_is_spread(cold):
-    """Pattern: 200 requests in one second, four shared prompts, 14 of 28 engines cold.
+def test_burst_is_spread_while_a_restored_zone_is_cold(cold):
+    """Guards against concentrating a burst on few cold servers while a zone is restored.
 
-    Without the pace the engines that keep a prompt get all that ask for it. Nobody is
-    refused, and each can still be in time.
+    200 requests with four shared prompts arrive within one second, and 14 of 28 engines are
+    cold. Without pacing, the engines that cache a prompt get all requests for it. No request is
+    refused, and each can still be answered on time.
     """
     until = {f'e{number}': 3.0 for number in range(cold)}
     placer = Placer(health=HealthTracker(), pace=pacer(**until))
@@ -126,8 +127,8 @@
     assert max(waits) < 1.2
 
 
-def test_gateways_that_decide_alone_keep_to_their_shares():
-    """Pattern: the owner is gone as a zone comes back; 30 gateways place by themselves."""
+def test_gateways_that_decide_independently_keep_to_their_shares():
+    """The owner is gone while a zone is restored; 30 gateways place requests independently."""
     engines = [report(f'e{number}') for number in range(4)]
     until = {f'e{number}': 3.0 for number in range(4)}
     pacers = [pacer(name=f'g{number}', **until) for number in range(30)]
@@ -144,7 +145,7 @@
     assert max(map(most_in_a_second, sent.values())) <= MAX_PER_S
 
 
-def test_share_follows_the_rate_that_a_service_names():
+def test_share_follows_the_configured_rate_of_the_service():
     limited = pacer(name='g0', e0=100)
     peers = frozenset({'g0', 'g1'})
     faster = dataclasses.replace(COLD, per_s=18)
@@ -156,7 +157,7 @@
     assert limited.reserve(SERVER, faster, 0.5, peers=peers) == pytest.approx(2 / 18)
 
 
-def test_server_that_could_not_be_reached_is_taken_for_cold_when_it_is_back():
+def test_server_that_was_unreachable_is_treated_as_cold():
     limited = pacer()
     limited.health.record_failure(SERVER, 10, hard=True)
     waits = [limited.reserve(SERVER, COLD, 12) for _ in range(3)]
@@ -164,10 +165,10 @@
     assert pacer().reserve(SERVER, COLD, 12) == 0
 
 
-def test_server_is_known_to_be_cold_by_all_that_follow():
+def test_directory_tells_all_gateways_that_a_server_is_cold():
     directory = BackendDirectory(epoch='e', started=0, silent_s=4, follower_s=2)
     assert directory.report(report('e0', cold_left_s=3.0), 0)
-    # Later reports tell the same end of it, a little late.
+    # Later reports state the same end of the cold time, slightly delayed.
     assert not directory.report(report('e0', cold_left_s=1.8, sequence=2), 1.3)
     assert not directory.report(report('e0', sequence=3), 4)
     assert directory.report(report('e0', cold_left_s=2.0, sequence=4), 9)
@@ -180,7 +181,7 @@
     return WatchNews(**(known | fields))
 
 
-def test_servers_of_a_zone_that_is_used_again_are_taken_for_cold():
+def test_servers_of_a_restored_zone_are_treated_as_cold():
     async def run():
         node = Node(name='g1', role='gateway', address='', secret=b'x', zone='a')
         follower = Follower(
@@ -199,7 +200,7 @@
     asyncio.run(run())
 
 
-def test_gateway_that_has_just_started_knows_no_server_to_be_warm():
+def test_gateway_that_has_just_started_treats_all_servers_as_cold():
     async def run():
         node = Node(name='g1', role='gateway', address='', secret=b'x', zone='a')
         follower = Follower(
--- a/tests/test_gateway/test_following/test_following_documentfetch.py
+++ b/tests/test_gateway/test_following/test_following_documentfetch.py
@@ -1,4 +1,4 @@
-"""A document in parts: over slow links, over lost hosts, against what is held."""
+"""Fetching a document in parts: over slow links, with lost hosts, and as a difference."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from ringseam.sealing import Received
 from tests.test_documents import document
 
-#: A link of 5 Mbit/s, of which requests leave a half.
+#: Half of a link of 5 Mbit/s; requests use the other half.
 BYTES_PER_S = 312_500
 
 
 def host(*documents):
-    """Return a control host that holds some documents."""
+    """Return a control host that has some documents."""
     service = FollowService(
         node=Node(name='c', role='control', address='c:1', secret=b''),
         submit=None,
@@ -33,13 +33,13 @@
 
 
 class SlowLink:
-    """Calls to control hosts over one follower's link, in virtual time."""
+    """Calls to control hosts over the link of one gateway, in virtual time."""
 
     def __init__(self, hosts, *, lost_after=None):
         self.hosts = hosts
         self.lost_after = lost_after or {}
         self.bytes = 0
-        self.turn = asyncio.Lock()
+        self.transfer_lock = asyncio.Lock()
         self.calls = []
 
     async def call(self, address, method, message, *, timeout_s):
@@ -55,24 +55,27 @@
         self.bytes += size
         try:
             async with asyncio.timeout(timeout_s):
-                async with self.turn:
+                async with self.transfer_lock:
                     await asyncio.sleep(0.003 + size / BYTES_PER_S)
         except asyncio.TimeoutError:
             raise UnreachableError('slow') from None
         return Received(sender='', address=address, group='', revision=0, body=reply)
 
 
-def test_many_followers_with_thin_links_have_a_large_document_soon():
-    """Load: all gateways start at once with 2,000 routes behind links of 5 Mbit/s.
-    Grounds: requests are answered 12 s after a loss of all power."""
+def test_many_gateways_with_slow_links_fetch_a_large_document_soon():
+    """Guards against slow starts after a power loss.
+
+    All gateways start at once with 2,000 routes behind links of 5 Mbit/s, and requests have to
+    be answered 12 s after a loss of all power.
+    """
     whole = document(7, 2000)
     leader = host((7, whole))
 
     async def main(clock):
         links = [SlowLink({'c1': leader}) for _ in range(20)]
-        fetches = [DocumentFetcher(client=link) for link in links]
+        fetchers = [DocumentFetcher(client=link) for link in links]
         got = await asyncio.gather(
-            *(fetch.run(['c1'], number=7, held=(0, b'')) for fetch in fetches)
+            *(fetcher.fetch(['c1'], number=7, current=(0, b'')) for fetcher in fetchers)
         )
         return got, clock.now(), max(link.bytes for link in links)
 
@@ -82,13 +85,13 @@
     assert sent < len(whole) / 5
 
 
-def test_document_of_four_megabytes_comes_in_parts():
+def test_document_of_four_megabytes_is_fetched_in_parts():
     whole = b'},{'.join(os.urandom(40).hex().encode() for _ in range(50_000))
     assert len(whole) > 4_000_000
 
     async def main(clock):
         link = SlowLink({'c1': host((7, whole))})
-        got = await DocumentFetcher(client=link).run(['c1'], number=7, held=(0, b''))
+        got = await DocumentFetcher(client=link).fetch(['c1'], number=7, current=(0, b''))
         return got, len(link.calls), clock.now()
 
     got, calls, took_s = run_virtual(main)
@@ -97,13 +100,13 @@
     assert took_s < 12
 
 
-def test_what_was_collected_outlives_a_lost_host():
+def test_received_parts_are_kept_when_a_host_is_lost():
     whole = os.urandom(5 * PART_BYTES)
 
     async def main(clock):
         holds = host((7, whole))
         link = SlowLink({'c1': holds, 'c2': holds}, lost_after={'c1': 3})
-        got = await DocumentFetcher(client=link).run(['c1', 'c2'], number=7, held=(0, b''))
+        got = await DocumentFetcher(client=link).fetch(['c1', 'c2'], number=7, current=(0, b''))
         return got, link.calls
 
     got, calls = run_virtual(main)
@@ -111,12 +114,12 @@
     assert calls[4] == ('c2', 3 * PART_BYTES)
 
 
-def test_change_travels_as_a_difference_to_who_holds_the_one_before():
+def test_change_is_sent_as_a_difference_to_the_previous_document():
     before, after = document(7, 500), document(8, 500, r20=1)
 
     async def main(clock):
         link = SlowLink({'c1': host((7, before), (8, after))})
-        got = await DocumentFetcher(client=link).run(['c1'], number=8, held=(7, before))
+        got = await DocumentFetcher(client=link).fetch(['c1'], number=8, current=(7, before))
         return got, link.bytes
 
     got, sent = run_virtual(main)
@@ -124,34 +127,34 @@
     assert sent < 500
 
 
-def test_host_that_lacks_what_is_held_sends_all():
+def test_host_without_the_current_document_sends_the_new_one_in_full():
     after = document(8, 50)
 
     async def main(clock):
         link = SlowLink({'c1': host((8, after))})
-        return await DocumentFetcher(client=link).run(['c1'], number=8, held=(7, b'old'))
+        return await DocumentFetcher(client=link).fetch(['c1'], number=8, current=(7, b'old'))
 
     assert run_virtual(main) == after
 
 
-def test_host_that_lacks_the_document_is_passed_over():
+def test_host_without_the_document_is_skipped():
     after = document(8, 50)
 
     async def main(clock):
         link = SlowLink({'c1': host((7, b'old')), 'c2': host((8, after))})
-        return await DocumentFetcher(client=link).run(['c1', 'c2'], number=8, held=(0, b''))
+        return await DocumentFetcher(client=link).fetch(['c1', 'c2'], number=8, current=(0, b''))
 
     assert run_virtual(main) == after
 
 
-def test_wrong_bytes_are_fetched_again_whole():
+def test_document_that_cannot_be_decoded_is_fetched_in_full():
     before, after = document(7, 50), document(8, 50, r3=1)
 
     async def main(clock):
         link = SlowLink({'c1': host((7, before), (8, after))})
-        fetch = DocumentFetcher(client=link)
-        first = await fetch.run(['c1'], number=8, held=(7, b'something else'))
-        second = await fetch.run(['c1'], number=8, held=(7, b'something else'))
+        fetcher = DocumentFetcher(client=link)
+        first = await fetcher.fetch(['c1'], number=8, current=(7, b'something else'))
+        second = await fetcher.fetch(['c1'], number=8, current=(7, b'something else'))
         return first, second
 
     assert run_virtual(main) == (None, after)
--- a/tests/test_gateway/test_following/test_following_ends.py
+++ b/tests/test_gateway/test_following/test_following_ends.py
@@ -1,8 +1,8 @@
-"""How a gateway finds out that a server has ended, over links that lose packets.
+"""Detection of server crashes over links that lose packets.
 
-The load: a server ends with requests under way; the reset, the refusal or the call to
-the leader is lost. Each loss leaves one end untold, and three of them cost a content
-three servers more.
+A server crashes with requests in flight, and the reset, the refusal of the probe or the call to
+the leader is lost. Each loss that is not recovered leaves one crash unreported, and three of
+them let a content crash three more servers.
 """
 
 import asyncio
@@ -42,14 +42,14 @@
 
 
 class Pool:
-    """Answers connections as scripted, the last one for ever."""
+    """Return scripted results of connection attempts; the last one repeats."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.asked = 0
+        self.connect_count = 0
 
     async def connect(self, address, *, timeout_s):
-        self.asked += 1
+        self.connect_count += 1
         answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
         if answer == 'listens':
             return SimpleNamespace(close=lambda: None)
@@ -57,7 +57,7 @@
 
 
 class Leader:
-    """Answers calls as scripted, the last one for ever."""
+    """Return scripted replies; the last one repeats."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -84,7 +84,7 @@
 
 
 def run_crash_check(pool, leader, seconds=5):
-    """Return the clock's time when the retry may go on, and the reporter, seconds later."""
+    """Return when a retry may continue, and the reporter some seconds later."""
 
     async def main(clock):
         reporter = reporter_of(clock, pool, leader)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize('lost', range(REPROBES + 1))
-def test_end_is_told_when_probes_are_lost(lost):
+def test_crash_is_reported_when_probes_are_lost(lost):
     leader = Leader(HEARD)
     retried_at, reporter = run_crash_check(Pool(*['silent'] * lost, 'refused'), leader)
     ((end,),) = leader.ends
@@ -116,27 +116,27 @@
     assert not reporter.reprobing
 
 
-def test_host_that_stays_silent_is_blamed_for_nothing():
+def test_host_that_never_answers_is_not_reported():
     pool = Pool('silent')
     leader = Leader(HEARD)
     run_crash_check(pool, leader)
     assert not leader.ends
-    assert pool.asked == REPROBES + 1
+    assert pool.connect_count == REPROBES + 1
 
 
-def test_server_that_answers_after_a_lost_probe_has_not_ended():
+def test_server_that_answers_after_a_lost_probe_has_not_crashed():
     leader = Leader(HEARD)
     run_crash_check(Pool('silent', 'listens'), leader)
     assert not leader.ends
 
 
-def test_probes_of_one_end_are_over_before_another_may_be_told():
-    """Gateways agree on the time of an end to SAME_CRASH_TOLERANCE_S; later it is another one."""
+def test_probes_of_one_crash_finish_before_another_may_be_reported():
+    """A report that differs by more than SAME_CRASH_TOLERANCE_S counts as another crash."""
     assert REPROBES * (REPROBE_PAUSE_S + PROBE_S) < SAME_CRASH_TOLERANCE_S
 
 
-def test_most_ends_are_seen_where_three_packets_in_ten_are_lost():
-    """Of a request for a connection and its refusal both must pass."""
+def test_most_crashes_are_detected_when_three_packets_in_ten_are_lost():
+    """The connection request and its refusal must both arrive."""
     rng = random.Random(1)
 
     def probe():
@@ -155,7 +155,7 @@
     ['lost', EvidenceReply(reply=Redirect(leader='c2'))],
     ids=['lost', 'redirect'],
 )
-def test_end_that_the_leader_has_not_heard_is_told_again(answer):
+def test_crash_that_the_leader_has_not_received_is_reported_again(answer):
     leader = Leader(answer, HEARD)
     _, reporter = run_crash_check(Pool('refused'), leader)
     ((end,),) = leader.ends[-1:]
@@ -164,8 +164,8 @@
     assert all(crash.acknowledged for crash in reporter.observed)
 
 
-def test_only_what_the_leader_has_not_heard_is_told_again():
-    """What it has heard it may have cleared since: told again it would be blamed anew."""
+def test_only_unacknowledged_crashes_are_reported_again():
+    """The leader may have cleared a content since; reporting it again would raise new suspicion."""
 
     async def main(clock):
         leader = Leader(HEARD, 'lost', HEARD)
@@ -180,7 +180,7 @@
     assert told == [['c0'], ['c1']]
 
 
-def test_new_leader_is_told_all_but_what_servers_bear():
+def test_new_leader_receives_all_crashes_without_cleared_contents():
     async def main(clock):
         leader = Leader(HEARD)
         reporter = reporter_of(clock, Pool('refused'), leader)
@@ -198,14 +198,14 @@
     assert [one.content for one in again[0].suspects] == ['bad']
 
 
-def test_end_that_is_heard_is_told_once():
+def test_acknowledged_crash_is_reported_once():
     leader = Leader(HEARD)
     run_crash_check(Pool('refused'), leader, seconds=10)
     assert len(leader.ends) == 1
 
 
-def test_end_behind_a_silence_is_found_by_asking():
-    """The reset was lost: streams are given up for their silence, and nobody waits."""
+def test_crash_behind_a_timeout_is_found_by_a_probe():
+    """The reset is lost: streams are abandoned on a timeout, and no request waits for the probe."""
 
     async def main(clock):
         leader = Leader(HEARD)
--- a/tests/test_gateway/test_following/test_following_guard.py
+++ b/tests/test_gateway/test_following/test_following_guard.py
@@ -1,4 +1,4 @@
-"""What a gateway takes for the end of a server, and what it sends to none any more."""
+"""Which events count as the crash of a server, and which contents are no longer sent."""
 
 import asyncio
 from types import SimpleNamespace
@@ -37,25 +37,25 @@
 
 
 def content(path, body=b'body', account='acme'):
-    """Return the identity of what :meth:`LocalGateway.ask` asks for."""
+    """Return the identity of the content that :meth:`LocalGateway.fetch` sends."""
     request = Request(method='POST', target=path, headers=[], body=body, arrived=0)
     return request_content_id(request, host='h.example', account=account, secret=SECRET)
 
 
 class Crashing(ScriptedServer):
-    """A server that ends when it has begun a request."""
+    """A server that crashes once it has started a request."""
 
     def __init__(self, before=b''):
         super().__init__(self.crash)
         self.before = before
         self.writers = []
 
-    async def crash(self, asked, writer):
+    async def crash(self, request, writer):
         self.writers.append(writer)
-        if asked.header('X-Waits'):
+        if request.header('X-Waits'):
             await asyncio.sleep(5)
         if self.before:
-            writer.write(stream_head(asked) + self.before)
+            writer.write(stream_head(request) + self.before)
             await writer.drain()
             await asyncio.sleep(0.05)
         self.server.close()
@@ -63,35 +63,35 @@
             reset(one)
 
 
-async def good(asked, writer):
-    writer.write(http_response(asked))
+async def respond(request, writer):
+    writer.write(http_response(request))
 
 
-async def failing(asked, writer):
-    writer.write(http_response(asked, status='500 Broken'))
+async def respond_with_error(request, writer):
+    writer.write(http_response(request, status='500 Broken'))
 
 
-async def resetting(asked, writer):
+async def reset_connection(request, writer):
     reset(writer)
 
 
-async def make_slowly(asked, writer):
-    """Make pieces, one call after the other."""
-    orders = decode_orders(asked.body)
+async def process_pieces_slowly(request, writer):
+    """Process pieces, one call at a time."""
+    orders = decode_orders(request.body)
     await asyncio.sleep(0.3)
     made = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
-    writer.write(http_response(asked, encode_results(made), attempt_id=''))
+    writer.write(http_response(request, encode_results(made), attempt_id=''))
 
 
 async def add(gateway, server, name, **known):
     gateway.add_server(await server.start(), name=name, **known)
 
 
-def test_reset_by_a_server_that_goes_on_is_no_end(key_file):
+def test_reset_by_a_running_server_is_not_a_crash(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
             for name in 'abc':
-                await add(gateway, ScriptedServer(resetting), name)
+                await add(gateway, ScriptedServer(reset_connection), name)
             for number in range(6):
                 await gateway.fetch('/idem/x', Attempt_Id=f'r{number}')
             assert not gateway.role.guard.crashes.observed
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize('before', [b'', chunk(event(1))])
-def test_all_that_was_under_way_on_a_server_that_ended_is_suspected(key_file, before):
+def test_everything_in_flight_on_a_crashed_server_is_suspected(key_file, before):
     async def run():
         async with LocalGateway(key_file) as gateway:
             await add(gateway, Crashing(before), 'a')
@@ -118,8 +118,8 @@
     asyncio.run(run())
 
 
-def test_connection_that_breaks_later_is_no_second_end(key_file):
-    """Load: a link loses the reset of one connection; it breaks by its own time limit."""
+def test_connection_that_breaks_later_is_not_a_second_crash(key_file):
+    """The reset of one connection is lost; that connection fails later by its own timeout."""
 
     async def run():
         async with LocalGateway(key_file) as gateway:
@@ -136,8 +136,8 @@
     asyncio.run(run())
 
 
-def test_server_that_fell_silent_is_not_probed(key_file):
-    """Load: a host goes dark with forty streams; each would wait for it before its retry."""
+def test_server_that_timed_out_is_not_probed(key_file):
+    """A host loses power with forty streams; each retry would wait for a probe."""
 
     async def run():
         async with LocalGateway(key_file) as gateway:
@@ -150,7 +150,7 @@
     asyncio.run(run())
 
 
-def test_without_a_leader_a_gateway_judges_by_what_it_has_seen(key_file):
+def test_without_a_leader_a_gateway_decides_on_its_own_evidence(key_file):
     async def run():
         servers = [Crashing() for _ in range(3)]
         async with LocalGateway(key_file) as gateway:
@@ -161,19 +161,19 @@
             gateway.role.guard.local_quarantine.evaluate(
                 gateway.role.node.clock.now() + REPORT_SETTLE_S
             )
-            sound = ScriptedServer(good)
-            await add(gateway, sound, 'z')
+            healthy = ScriptedServer(respond)
+            await add(gateway, healthy, 'z')
             status, raw = await gateway.fetch('/idem/x', Attempt_Id='again')
             other, _ = await gateway.fetch('/idem/other', Attempt_Id='other')
         assert (status, other) == (400, 200)
         assert b'retry-after' not in raw.lower()
-        assert [asked.attempt_id for asked in sound.requests] == ['other']
+        assert [request.attempt_id for request in healthy.requests] == ['other']
 
     asyncio.run(run())
 
 
-def test_run_on_trial_whose_server_ends_is_not_sent_to_another(key_file):
-    """Its third end is told by then, so a retry would only cost a fourth server."""
+def test_trial_run_whose_server_crashes_is_not_retried(key_file):
+    """Its third crash is reported by then, so a retry would only cost a fourth server."""
 
     async def run():
         servers = [Crashing() for _ in range(4)]
@@ -189,7 +189,7 @@
     asyncio.run(run())
 
 
-def test_pieces_on_trial_whose_server_ends_are_not_made_elsewhere(key_file):
+def test_trial_pieces_whose_server_crashes_are_not_retried(key_file):
     async def run():
         servers = [Crashing() for _ in range(4)]
         async with LocalGateway(key_file) as gateway:
@@ -206,7 +206,7 @@
 
 
 class Leader:
-    """Records what it is called for."""
+    """Record the calls to the leader."""
 
     def __init__(self):
         self.calls = []
@@ -239,9 +239,13 @@
         raise RefusedError(address, sent=False)
 
 
-def test_leader_hears_of_an_end_before_it_is_asked_for_a_run():
-    """Seen: a gateway was out of touch when a server ended, and asked for a run as soon as
-    it had a leader again. That granted it, not knowing of the end, and a fourth one ended."""
+def test_crash_is_reported_before_a_trial_run_is_requested():
+    """Guards against a trial run granted without knowledge of a crash.
+
+    A gateway without a leader observes a crash and requests a trial run as soon as it is
+    connected again. A leader that has not received the crash grants the run, and a fourth
+    server crashes.
+    """
 
     async def run(clock):
         leader = Leader()
@@ -261,8 +265,8 @@
     assert isinstance(second, TrialRequest)
 
 
-def test_leader_is_told_all_once_when_the_whole_directory_is_asked_for():
-    """Its epoch is empty then; what was cleared since would be blamed anew."""
+def test_crashes_are_reported_once_when_the_full_directory_is_requested():
+    """The epoch is empty in between; a content cleared since would raise new suspicion."""
 
     async def run(clock):
         leader = Leader()
@@ -280,13 +284,13 @@
     assert len(run_virtual(run)) == 1
 
 
-def test_answer_to_a_suspected_content_needs_no_leader(key_file, caplog):
+def test_success_of_a_suspected_content_needs_no_leader(key_file, caplog):
     async def run():
         async with LocalGateway(key_file) as gateway:
             for name in 'ab':
                 await add(gateway, Crashing(), name)
             await gateway.fetch('/idem/x')
-            await add(gateway, ScriptedServer(good), 'c')
+            await add(gateway, ScriptedServer(respond), 'c')
             status, _ = await gateway.fetch('/idem/x', Attempt_Id='again')
             await asyncio.sleep(0)
             assert not gateway.role.guard.local_quarantine.suspects
@@ -298,7 +302,7 @@
 
 def test_quarantined_content_reaches_no_server_under_any_id(key_file):
     async def run():
-        server = ScriptedServer(good)
+        server = ScriptedServer(respond)
         async with LocalGateway(key_file) as gateway:
             await add(gateway, server, 'a')
             await add(gateway, server, 'b', service='crops')
@@ -314,11 +318,11 @@
     asyncio.run(run())
 
 
-def test_suspected_content_waits_for_the_leaders_word(key_file):
-    """Its leader can't be reached: it is refused and may come back; nothing has run."""
+def test_suspected_content_is_refused_while_the_leader_is_unreachable(key_file):
+    """The leader is unreachable: the request is refused for a later retry, and nothing runs."""
 
     async def run():
-        server = ScriptedServer(good)
+        server = ScriptedServer(respond)
         async with LocalGateway(key_file) as gateway:
             await add(gateway, server, 'a')
             gateway.role.follower.is_connected = True
@@ -334,11 +338,11 @@
 
 
 @pytest.mark.parametrize('verdict', ['quarantined', 'suspects'])
-def test_rejected_content_raises_the_rank_of_no_other_request(key_file, verdict):
-    """A client repeated a content that ends servers; its route went before others.
+def test_rejected_content_does_not_raise_the_priority_of_its_route(key_file, verdict):
+    """Guards against a priority boost from repeated requests for a quarantined content.
 
-    Rejections counted as requests that were not served in time, so the route got the
-    turn of the one before it, whose requests were refused seconds after the verdict.
+    If rejections count as requests that were not answered on time, the route overtakes the one
+    before it, whose requests are refused for seconds after the verdict.
     """
 
     async def run():
@@ -356,10 +360,10 @@
     assert not asyncio.run(run())
 
 
-@pytest.mark.parametrize('falls', [True, False])
-def test_verdict_that_falls_while_pieces_wait_keeps_them_from_the_servers(key_file, falls):
+@pytest.mark.parametrize('is_quarantined', [True, False])
+def test_verdict_applies_to_pieces_that_are_still_queued(key_file, is_quarantined):
     async def run():
-        server = ScriptedServer(make_slowly)
+        server = ScriptedServer(process_pieces_slowly)
         async with LocalGateway(key_file) as gateway:
             await add(gateway, server, 'a', service='crops')
             asks = [
@@ -371,17 +375,17 @@
                 for name in ('first', 'second')
             ]
             await asyncio.sleep(0.2)
-            held = {content('/staged/second'): 0} if falls else {}
+            held = {content('/staged/second'): 0} if is_quarantined else {}
             gateway.role.follower.quarantine = QuarantineSnapshot(version=2, quarantined=held)
             await asyncio.gather(*asks)
-            bodies = b''.join(asked.body for asked in server.requests)
+            bodies = b''.join(request.body for request in server.requests)
         assert b'first' in bodies
-        assert (b'second' not in bodies) is falls
+        assert (b'second' not in bodies) is is_quarantined
 
     asyncio.run(run())
 
 
-def test_end_of_a_stage_server_is_told_with_the_contents_of_its_pieces(key_file):
+def test_crash_of_a_stage_server_is_reported_with_the_contents_of_its_pieces(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
             await add(gateway, Crashing(), 'a', service='crops')
@@ -392,9 +396,9 @@
     asyncio.run(run())
 
 
-def test_account_that_is_confined_is_kept_to_one_server(key_file):
+def test_confined_account_uses_one_server(key_file):
     async def run():
-        servers = [ScriptedServer(good) for _ in range(4)]
+        servers = [ScriptedServer(respond) for _ in range(4)]
         async with LocalGateway(key_file) as gateway:
             for number, server in enumerate(servers):
                 await add(gateway, server, f'a{number}')
@@ -407,9 +411,9 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize(('script', 'bears'), [(good, True), (failing, False)])
-def test_only_success_shows_that_a_server_bears_a_content(key_file, script, bears):
-    """A server may fail a request before it runs it: that clears nobody."""
+@pytest.mark.parametrize(('script', 'survives'), [(respond, True), (respond_with_error, False)])
+def test_only_success_shows_that_a_server_survives_a_content(key_file, script, survives):
+    """A server may fail a request before running it, so a failure clears no content."""
 
     async def run():
         async with LocalGateway(key_file) as gateway:
@@ -417,7 +421,7 @@
             await add(gateway, ScriptedServer(script), 'a')
             await gateway.fetch('/idem/x')
             now = gateway.role.node.clock.now()
-            assert guard.served.contains(content('/idem/x'), '', now) is bears
+            assert guard.served.contains(content('/idem/x'), '', now) is survives
             server = gateway.role.follower.view.backends[BackendId('a')]
             guard.crashes.request_sent(
                 server, 'r9', Suspect(content=content('/idem/x'), account='acme')
--- a/tests/test_gateway/test_following/test_following_health.py
+++ b/tests/test_gateway/test_following/test_following_health.py
@@ -1,4 +1,4 @@
-"""Evidence about backend servers, and the choice that follows from it."""
+"""Health of backend servers, and the policy of a server that depends on it."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     )
 
 
-def test_one_failure_among_many_answers_ejects_nobody():
+def test_one_failure_among_many_successes_does_not_eject():
     tracker = HealthTracker()
     for _ in range(20):
         tracker.record_success(A, 0)
     assert not tracker.record_failure(A, 0)
 
 
-def test_share_of_failures_ejects_for_a_while():
+def test_large_share_of_failures_ejects_temporarily():
     tracker = HealthTracker()
     tracker.record_success(A, 0)
     tracker.record_failure(A, 0)
@@ -41,7 +41,7 @@
     assert tracker.of(A).ejected_until - first > first
 
 
-def test_evidence_fades():
+def test_recorded_failures_decay():
     tracker = HealthTracker()
     tracker.record_failure(A, 0)
     assert not tracker.record_failure(A, 60)
@@ -49,16 +49,16 @@
 
 def test_ejected_server_is_avoided_unless_all_are():
     tracker = HealthTracker()
-    choice = LatencyPolicy(health=tracker, zone='x')
+    policy = LatencyPolicy(health=tracker, zone='x')
     servers = [server(A), server(B, 'y')]
-    assert choice.choose(servers, 0).instance == A
+    assert policy.choose(servers, 0).instance == A
     tracker.record_failure(A, 0, hard=True)
-    assert choice.choose(servers, 0.1).instance == B
+    assert policy.choose(servers, 0.1).instance == B
     tracker.record_failure(B, 0.1, hard=True)
-    assert choice.choose(servers, 0.2) is not None
+    assert policy.choose(servers, 0.2) is not None
 
 
-def test_slow_server_loses_work_that_the_naive_choice_leaves_there():
+def test_slow_server_is_avoided_unlike_with_the_baseline_policy():
     tracker = HealthTracker()
     servers = [server(A), server(B, 'y')]
     for _ in range(10):
@@ -68,11 +68,11 @@
     assert LocalZonePolicy(health=tracker, zone='x').choose(servers, 0).instance == A
 
 
-def test_nobody_to_choose():
+def test_no_server_is_chosen_from_an_empty_list():
     assert LatencyPolicy(health=HealthTracker(), zone='x').choose([], 0) is None
 
 
-def test_rendezvous_moves_only_the_keys_of_who_left():
+def test_rendezvous_moves_only_the_keys_of_the_removed_name():
     names = [f'g{number}' for number in range(6)]
     keys = [f'k{number}' for number in range(300)]
     before = {key: rendezvous(key, names) for key in keys}
@@ -81,7 +81,7 @@
     assert moved == {key for key in keys if before[key] == names[-1]}
 
 
-def test_slowness_shows_after_one_call_and_fades():
+def test_slowness_rises_after_one_call_and_decays():
     tracker = HealthTracker()
     tracker.record_slowness(A, 4.0, now=0)
     assert tracker.of(A).slowness_at(0) == 2.5
--- a/tests/test_gateway/test_following/test_following_lag.py
+++ b/tests/test_gateway/test_following/test_following_lag.py
@@ -1,4 +1,4 @@
-"""When a process is too far behind to decide for others."""
+"""When a process lags too far to decide for others."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 @pytest.mark.parametrize(
-    ('lates', 'busy'),
+    ('delays', 'busy'),
     [
         ([0.0] * 20, False),
-        # A quota that is used up for the rest of each tenth of a second.
+        # A CPU quota that is used up for the rest of each period of 0.1 s.
         ([0.1] * 20, False),
-        # One pause of the host.
+        # A single pause of the host.
         ([0.0, 3.0, 0.0, 0.0], False),
         ([0.0, 0.3, 0.4], True),
         ([0.3, 0.0, 0.3, 0.0], False),
     ],
 )
-def test_timers_that_are_late_in_a_row_show_it(lates, busy):
+def test_process_lags_after_consecutive_late_timers(delays, busy):
     lag = EventLoopLag()
-    for number, late_s in enumerate(lates):
+    for number, late_s in enumerate(delays):
         lag.record(late_s, number / 10)
-    assert lag.is_busy(len(lates) / 10) is busy
+    assert lag.is_busy(len(delays) / 10) is busy
 
 
-def test_process_decides_again_after_a_while_in_time():
+def test_process_recovers_after_some_time_without_late_timers():
     lag = EventLoopLag()
     lag.record(1, 0)
     lag.record(1, 1)
--- a/tests/test_gateway/test_following/test_following_ownership.py
+++ b/tests/test_gateway/test_following/test_following_ownership.py
@@ -1,4 +1,4 @@
-"""Which gateway decides for a service, and what it costs to know."""
+"""Which gateway owns a service, and how often that is computed."""
 
 from __future__ import annotations
 
@@ -22,28 +22,31 @@
     )
 
 
-def test_owner_is_worked_out_once_for_each_membership(monkeypatch):
-    """Load: each request asks a dozen times who decides. Grounds: 80 us each time over
-    68 gateways."""
-    worked_out = []
-    whole = ownership.rendezvous
+def test_owner_is_computed_once_for_each_membership(monkeypatch):
+    """Guards against computing the owner again for each request.
+
+    Each request needs the owner a dozen times, and one computation over 68 gateways takes 80
+    us.
+    """
+    computed = []
+    original = ownership.rendezvous
     monkeypatch.setattr(
         ownership,
         'rendezvous',
-        lambda key, names: worked_out.append(key) or whole(key, names),
+        lambda key, names: computed.append(key) or original(key, names),
     )
     follower = SimpleNamespace(gateways=gateways(68))
     owners = Ownership(follower=follower, name='g0')
     first = [owners.owner_of('crops') for _ in range(10)]
     assert set(first) == {first[0]}
-    assert worked_out == ['crops']
+    assert computed == ['crops']
     owner = int(first[0].partition(':')[0][1:])
     follower.gateways = gateways(68, draining={owner})
     assert owners.owner_of('crops') != first[0]
-    assert worked_out == ['crops', 'crops']
+    assert computed == ['crops', 'crops']
 
 
-def test_without_other_gateways_a_gateway_decides_itself():
+def test_single_gateway_owns_every_service():
     follower = SimpleNamespace(gateways=())
     assert Ownership(follower=follower, name='g0').owner_of('crops') == ''
 
@@ -52,16 +55,18 @@
     return Ownership(follower=SimpleNamespace(gateways=known), name='other').owner_of('crops')
 
 
-def test_gateway_that_is_behind_decides_no_more():
-    """Load: the host of an owner turns slow. Grounds: an owner 3.5 s behind let the results of
-    all requests of its service expire."""
+def test_lagging_gateway_is_not_an_owner():
+    """Guards against a lagging owner.
+
+    An owner that lagged by 3.5 s let the results of all requests of its service expire.
+    """
     first = owner_among(gateways(9))
     number = int(first.partition(':')[0][1:])
     assert owner_among(gateways(9, busy={number})) != first
     assert owner_among(gateways(9, busy={(number + 1) % 9})) == first
 
 
-def test_while_most_are_behind_owners_stay():
+def test_owners_stay_while_most_gateways_lag():
     first = owner_among(gateways(9))
     assert owner_among(gateways(9, busy=set(range(9)))) == first
     assert owner_among(gateways(9, busy=set(range(5)))) == first
@@ -76,11 +81,11 @@
     return owners.is_settled('crops', now)
 
 
-def test_gateways_that_come_and_go_leave_an_owner_settled():
-    """Pattern: all gateways restart in turn, one each two seconds.
+def test_owner_stays_settled_while_other_gateways_restart():
+    """Guards against losing the settled state while all gateways restart, one each two seconds.
 
-    Any of them that stopped unsettled all owners, so that inputs were kept twice as long
-    as they were needed, for as long as the restarts went on.
+    If any gateway that stops unsettles all owners, inputs are kept twice as long as needed for
+    as long as the restarts go on.
     """
     name = owner_name(gateways(9))
     others = [number for number in range(9) if f'g{number}' != name]
@@ -92,7 +97,7 @@
         assert settled(owners, follower, 3.5 + step)
 
 
-def test_owner_is_unsettled_while_one_before_it_stops_and_a_while_after():
+def test_owner_is_not_settled_until_some_time_after_its_predecessor_stopped():
     first = owner_name(gateways(9))
     number = int(first[1:])
     staying = tuple(state for state in gateways(9) if state.name != first)
@@ -107,15 +112,15 @@
     assert not owners.is_settled('crops', 10)
     assert not owners.is_settled('crops', 11.9)
     assert owners.is_settled('crops', 12)
-    # The first is back for a moment, and gone again before anything was sent.
+    # The first owner returns briefly and leaves again before anything is sent.
     follower.gateways = gateways(9)
     owners.refresh()
     follower.gateways = staying
     assert not owners.is_settled('crops', 20)
 
 
-def test_owner_that_stops_is_settled_no_more():
-    """Another one calls the same servers while this one finishes what waits."""
+def test_draining_owner_is_not_settled():
+    """Another owner calls the same servers while this one finishes queued requests."""
     name = owner_name(gateways(9))
     follower = SimpleNamespace(gateways=gateways(9))
     owners = Ownership(follower=follower, name=name)
--- a/tests/test_gateway/test_following/test_following_turns.py
+++ b/tests/test_gateway/test_following/test_following_turns.py
@@ -1,4 +1,4 @@
-"""PermitAllocator at servers that name a limit, asked of the owner or taken here."""
+"""Permits for rate-limited servers, from the owner of a service or granted locally."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from ringseam.node import Node
 from ringseam.routes import ServiceName
 
-ONE = BackendId('s0')
+SERVER_ID = BackendId('s0')
 SERVER = BackendReport(
-    instance=ONE,
+    instance=SERVER_ID,
     service=ServiceName('plain'),
     address='s0:1',
     zone='a',
@@ -28,19 +28,19 @@
 
 
 class Owner:
-    """The owner's side of calls; None: it can't be reached."""
+    """Calls to the owner; it is unreachable if ``allocator`` is None."""
 
-    def __init__(self, permits):
-        self.permits = permits
-        self.asked = []
+    def __init__(self, allocator):
+        self.allocator = allocator
+        self.requests = []
 
     async def call(self, address, method, request, *, timeout_s):
-        if self.permits is None:
+        if self.allocator is None:
             raise UnreachableError('cut off')
         assert isinstance(request, PermitRequest)
-        self.asked.append(request)
+        self.requests.append(request)
         return SimpleNamespace(
-            body=await self.permits.handle_request(SimpleNamespace(body=request))
+            body=await self.allocator.handle_request(SimpleNamespace(body=request))
         )
 
 
@@ -55,59 +55,59 @@
     )
 
 
-def acquire(permits, max_wait_s=0.0):
-    return asyncio.run(permits.acquire(SERVER, max_wait_s))
+def acquire(allocator, max_wait_s=0.0):
+    return asyncio.run(allocator.acquire(SERVER, max_wait_s))
 
 
-def test_server_without_a_limit_needs_no_turn():
-    permits = allocator_of('g0', PausedClock())
-    assert acquire(permits).granted
-    assert permits.pacer.recent_sends == {}
+def test_server_without_a_limit_needs_no_permit():
+    allocator = allocator_of('g0', PausedClock())
+    assert acquire(allocator).granted
+    assert allocator.pacer.recent_sends == {}
 
 
-# A request that was counted twice would leave half of a limit unused.
-def test_turn_is_counted_once_by_who_takes_it():
+# Counting a request twice would leave half of the limit unused.
+def test_permit_is_counted_once_by_its_holder():
     clock = PausedClock()
     own = allocator_of('g0', clock)
-    own.limits.record(ONE, 1.0, clock.now())
+    own.limits.record(SERVER_ID, 1.0, clock.now())
     assert acquire(own).granted
-    assert own.pacer.count_since(ONE, clock.now()) == 0
-    own.pacer.record_send(ONE, clock.now())
+    assert own.pacer.count_since(SERVER_ID, clock.now()) == 0
+    own.pacer.record_send(SERVER_ID, clock.now())
     assert not acquire(own).granted
     assert acquire(own, max_wait_s=1).wait_s == pytest.approx(1)
 
 
-def test_owner_counts_the_turns_of_others_and_what_they_sent_before():
+def test_owner_counts_the_permits_of_others_and_their_earlier_requests():
     clock = PausedClock()
     own = allocator_of('g0', clock)
     other = allocator_of('g1', clock, owner=Owner(own), address='g0:1')
     for _ in range(3):
-        other.pacer.record_send(ONE, clock.now())
-    other.limits.record(ONE, 1.0, clock.now())
+        other.pacer.record_send(SERVER_ID, clock.now())
+    other.limits.record(SERVER_ID, 1.0, clock.now())
     assert acquire(other).granted
-    assert own.pacer.count_since(ONE, clock.now()) == 4
+    assert own.pacer.count_since(SERVER_ID, clock.now()) == 4
     assert not acquire(other).granted
-    assert own.pacer.count_since(ONE, clock.now()) == 4
+    assert own.pacer.count_since(SERVER_ID, clock.now()) == 4
 
 
-def test_owner_that_cannot_be_reached_leaves_a_part_of_the_limit():
+def test_part_of_the_limit_is_available_while_the_owner_is_unreachable():
     clock = PausedClock()
-    permits = allocator_of('g1', clock, owner=Owner(None), address='g0:1')
-    permits.limits.record(ONE, 1.0, clock.now())
-    assert acquire(permits).granted
-    permits.pacer.record_send(ONE, clock.now())
+    allocator = allocator_of('g1', clock, owner=Owner(None), address='g0:1')
+    allocator.limits.record(SERVER_ID, 1.0, clock.now())
+    assert acquire(allocator).granted
+    allocator.pacer.record_send(SERVER_ID, clock.now())
     clock.advance(5)
-    assert not acquire(permits).granted
+    assert not acquire(allocator).granted
 
 
-def test_asker_hears_that_the_limit_is_over():
+def test_requesting_gateway_learns_that_the_limit_is_lifted():
     clock = PausedClock()
     own = allocator_of('g0', clock)
     other = allocator_of('g1', clock, owner=Owner(own), address='g0:1')
-    other.limits.record(ONE, 1.0, clock.now())
+    other.limits.record(SERVER_ID, 1.0, clock.now())
     acquire(other)
     clock.advance(1)
-    own.limits.record(ONE, None, clock.now())
+    own.limits.record(SERVER_ID, None, clock.now())
     clock.advance(1)
     assert acquire(other).granted
-    assert other.limits.of(ONE) is None
+    assert other.limits.of(SERVER_ID) is None
--- a/tests/test_gateway/test_following/test_following_zones.py
+++ b/tests/test_gateway/test_following/test_following_zones.py
@@ -1,4 +1,4 @@
-"""Nothing new reaches the servers of a drained availability zone, by any way."""
+"""No new request reaches the servers of a drained availability zone by any path."""
 
 import asyncio
 from dataclasses import replace
@@ -22,18 +22,18 @@
 PROMPT = {'Prompt_Prefix': 'aa:100,bb:20', 'Token_Counts': '120,10'}
 
 
-async def good(asked, writer):
-    writer.write(http_response(asked))
+async def respond(request, writer):
+    writer.write(http_response(request))
 
 
-async def make(asked, writer):
-    orders = decode_orders(asked.body)
+async def process_pieces(request, writer):
+    orders = decode_orders(request.body)
     made = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
-    writer.write(http_response(asked, encode_results(made), attempt_id=''))
+    writer.write(http_response(request, encode_results(made), attempt_id=''))
 
 
-async def break_off(asked, writer):
-    writer.write(stream_head(asked) + chunk(event(1)))
+async def break_stream(request, writer):
+    writer.write(stream_head(request) + chunk(event(1)))
     await writer.drain()
     await asyncio.sleep(0.05)
     reset(writer)
@@ -48,9 +48,9 @@
     ('path', 'headers'),
     [('/idem/x', {}), ('/once/x', {}), ('/flow/x', {}), ('/sticky/x', PROMPT)],
 )
-def test_requests_go_to_the_other_zones_and_come_back(key_file, path, headers):
+def test_requests_go_to_the_other_zones_and_return(key_file, path, headers):
     async def run():
-        servers = {zone: ScriptedServer(good) for zone in 'ab'}
+        servers = {zone: ScriptedServer(respond) for zone in 'ab'}
         async with LocalGateway(key_file) as gateway:
             for zone, server in servers.items():
                 gateway.add_server(await server.start(), zone=zone)
@@ -65,9 +65,9 @@
     asyncio.run(run())
 
 
-def test_request_that_no_zone_is_left_for_is_refused_at_once(key_file):
+def test_request_is_refused_at_once_when_all_zones_are_drained(key_file):
     async def run():
-        server = ScriptedServer(good)
+        server = ScriptedServer(respond)
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await server.start(), zone='a')
             drain(gateway, 1, 'a')
@@ -80,14 +80,14 @@
     asyncio.run(run())
 
 
-def test_stream_that_breaks_off_is_resumed_in_another_zone_only(key_file):
+def test_broken_stream_is_not_resumed_in_a_drained_zone(key_file):
     async def run():
-        server = ScriptedServer(break_off)
-        other = ScriptedServer(good)
+        server = ScriptedServer(break_stream)
+        other = ScriptedServer(respond)
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await server.start(), zone='b')
             gateway.add_server(await other.start(), zone='a', name='a')
-            # The stream begins while both zones serve.
+            # The stream starts while both zones are in service.
             gateway.role.health.of('a').latency_s = 9
             asking = asyncio.create_task(gateway.fetch('/flow/x'))
             await asyncio.sleep(0.03)
@@ -99,10 +99,10 @@
     asyncio.run(run())
 
 
-def test_pieces_are_made_in_the_other_zones(key_file):
+def test_pieces_are_processed_in_the_other_zones(key_file):
     async def run():
-        servers = {zone: ScriptedServer(make) for zone in 'ab'}
-        last = ScriptedServer(good)
+        servers = {zone: ScriptedServer(process_pieces) for zone in 'ab'}
+        last = ScriptedServer(respond)
         async with LocalGateway(key_file) as gateway:
             for zone, server in servers.items():
                 gateway.add_server(await server.start(), service='crops', zone=zone)
@@ -117,11 +117,11 @@
     asyncio.run(run())
 
 
-def test_choice_of_an_owner_that_has_not_heard_is_not_followed(key_file):
-    """Load: the deciding gateway is out of touch and names a server of the zone."""
+def test_server_in_a_drained_zone_selected_by_an_outdated_owner_is_not_used(key_file):
+    """The owner has lost its leader and selects a server in the drained zone."""
 
     async def run():
-        servers = {zone: ScriptedServer(good) for zone in 'ab'}
+        servers = {zone: ScriptedServer(respond) for zone in 'ab'}
         async with LocalGateway(key_file) as gateway, LocalGateway(key_file) as owner:
             for zone, server in servers.items():
                 address = await server.start()
@@ -139,13 +139,11 @@
 
 
 @pytest.mark.parametrize(('path', 'headers'), [('/idem/x', {}), ('/sticky/x', PROMPT)])
-def test_request_that_waits_for_its_turn_goes_elsewhere_when_the_zone_is_drained(
-    key_file, path, headers
-):
-    """Load: its server is cold, and its zone is drained before the request may go there."""
+def test_paced_request_goes_elsewhere_when_the_zone_is_drained(key_file, path, headers):
+    """The server is cold, and its zone is drained before the request may be sent to it."""
 
     async def run():
-        servers = {zone: ScriptedServer(good) for zone in 'ab'}
+        servers = {zone: ScriptedServer(respond) for zone in 'ab'}
         async with LocalGateway(key_file) as gateway:
             services = gateway.role.follower.table.services
             cold = ColdSpec(length_s=60, per_s=4)
