--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -160,8 +160,8 @@
     Mutation(
         'a late duplicate is judged by its ticket first',
         'ringseam/agent/execution.py',
-        'if known is not None and refusal is not RefusalReason.incarnation:',
-        'if known is not None and refusal is None:',
+        'if existing is not None and refusal is not RefusalReason.incarnation:',
+        'if existing is not None and refusal is None:',
         EXECUTION,
     ),
     Mutation(
@@ -174,22 +174,22 @@
     Mutation(
         'a tombstone leaves no row',
         'ringseam/agent/execution.py',
-        '        self.rows[key] = Execution(\n            key=key,\n            generation=gen',
-        '        Execution(\n            key=key,\n            generation=gen',
+        '        self.executions[key] = Execution(\n            key=key,\n            generation=',
+        '        Execution(\n            key=key,\n            generation=',
         EXECUTION,
     ),
     Mutation(
         'what ran may run again under a newer generation',
         'ringseam/agent/execution.py',
-        'if known.repeatable or known.state is ExecutionState.not_run:',
-        'if known.state is not ExecutionState.running:',
+        'if existing.repeatable or existing.state is ExecutionState.not_run:',
+        'if existing.state is not ExecutionState.running:',
         EXECUTION,
     ),
     Mutation(
         'a forgotten execution counts as never run',
         'ringseam/agent/execution.py',
-        'if known is None and refusal is not None:',
-        'if known is None and refusal is None and self.rows is None:',
+        'if existing is None and refusal is not None:',
+        'if existing is None and refusal is None and self.executions is None:',
         EXECUTION,
     ),
     Mutation(
@@ -223,8 +223,8 @@
     Mutation(
         'an order leaves although the check is old',
         'ringseam/agent/orders.py',
-        'if self.clock.now() - asked > FRESH_S:',
-        'if asked < 0:',
+        'if self.clock.now() - checked_at > MAX_CHECK_AGE_S:',
+        'if checked_at < 0:',
         'tests/test_agent/test_agent_orders.py',
     ),
     Mutation(
--- a/ringseam/agent/server.py
+++ b/ringseam/agent/server.py
@@ -9,7 +9,7 @@
 
 import pykka
 
-from ringseam.agent.adapters import Adapter, Call, Cancel
+from ringseam.agent.adapters import Adapter, Call, Cancellation
 from ringseam.agent.execution import (
     Admitted,
     Answered,
@@ -22,19 +22,19 @@
 )
 from ringseam.agent.queue import Job, StageQueue
 from ringseam.agent.servermessages import (
-    Abandon,
-    Concluded,
+    CancelDispatch,
+    ConfigurationChanged,
     Drain,
-    GetServer,
-    Offer,
-    PrefixesKnown,
-    Reconfigured,
+    ExecutionFinished,
+    GetAnnouncement,
+    PrefixesUpdated,
+    SubmitDispatch,
     Tick,
 )
-from ringseam.agent.standing import (
+from ringseam.agent.serverstatus import (
     Announcement,
     ServerEstimates,
-    ServerStanding,
+    ServerStatus,
     time_refusal,
 )
 from ringseam.clock import MS_PER_S
@@ -69,7 +69,7 @@
         queue: str,
         shed: bool,
         threads: int,
-        memory_s: float,
+        retention_s: float,
         stale_grace_s: float,
         announce_lost_s: float,
     ) -> None:
@@ -78,9 +78,9 @@
         self.node = node
         self.queue: StageQueue = StageQueue.kinds[queue]()
         self.shed = shed
-        self.table = ExecutionTable(incarnation=node.incarnation, memory_s=memory_s)
+        self.table = ExecutionTable(incarnation=node.incarnation, retention_s=retention_s)
         self.workers = ThreadPoolExecutor(threads, thread_name_prefix='execution')
-        self.standing = ServerStanding(
+        self.status = ServerStatus(
             agent=node.name,
             stale_grace_s=stale_grace_s,
             announce_lost_s=announce_lost_s,
@@ -88,9 +88,9 @@
         self.estimates = ServerEstimates(queue=self.queue)
         self.adapter: Adapter | None = None
         self.sequence = 0
-        self.running: dict[ExecutionKey, tuple[Job, Cancel]] = {}
+        self.running: dict[ExecutionKey, tuple[Job, Cancellation]] = {}
         self.waiters: dict[ExecutionKey, list[ReplyTo]] = defaultdict(list)
-        self.idle: list[ReplyTo] = []
+        self.idle_waiters: list[ReplyTo] = []
         self.prefixes: tuple[int, ...] = ()
 
     def on_receive(self, message: Any) -> None:
@@ -107,106 +107,106 @@
 
     # -- messages -----------------------------------------------------------
 
-    def offer(self, offer: Offer, reply_to: ReplyTo) -> None:
+    def submit(self, message: SubmitDispatch, reply_to: ReplyTo) -> None:
         """Decide on a dispatch and queue it when it may run."""
-        dispatch = offer.dispatch
-        decision = self.table.offer(dispatch, self.node.clock.now())
+        dispatch = message.dispatch
+        decision = self.table.decide(dispatch, self.node.clock.now())
         if isinstance(decision, Answered):
-            self._refused(dispatch, decision.reply)
-            reply_to.send(self._word(decision.reply))
+            self._log_refusal(dispatch, decision.reply)
+            reply_to.send(self._dispatch_reply(decision.reply))
         elif isinstance(decision, Attached):
             self.waiters[decision.execution.key].append(reply_to)
         else:
-            self._admit(offer, decision, reply_to)
+            self._admit(message, decision, reply_to)
 
-    def abandon(self, abandon: Abandon, reply_to: ReplyTo | None) -> None:
+    def cancel(self, message: CancelDispatch, reply_to: ReplyTo | None) -> None:
         """Cancel repeatable work that nobody waits for."""
-        key = execution_key(abandon.dispatch)
-        execution = self.table.rows.get(key)
+        key = execution_key(message.dispatch)
+        execution = self.table.executions.get(key)
         if execution is None or not execution.repeatable:
             return
-        if execution.generation != abandon.dispatch.generation:
+        if execution.generation != message.dispatch.generation:
             return
-        out = self.running.get(key)
+        running = self.running.get(key)
         if execution.state is ExecutionState.queued:
-            self._end(execution, StageNotRun(reason=RefusalReason.cancelled))
-        elif out is not None:
+            self._finish(execution, StageNotRun(reason=RefusalReason.cancelled))
+        elif running is not None:
             self.node.events.emit(
                 logger,
                 Event.execution_cancelled,
-                request=abandon.dispatch.request_id,
-                stage=abandon.dispatch.stage,
+                request=message.dispatch.request_id,
+                stage=message.dispatch.stage,
             )
-            out[1].cancel()
+            running[1].cancel()
 
-    def conclude(self, concluded: Concluded, reply_to: ReplyTo | None) -> None:
+    def finish(self, message: ExecutionFinished, reply_to: ReplyTo | None) -> None:
         """Record an execution's reply, tell it and start the next."""
-        execution = concluded.job.execution
+        execution = message.job.execution
         self.running.pop(execution.key, None)
-        self.estimates.learn(concluded.job.dispatch.stage, concluded.reply)
-        self._end(execution, concluded.reply)
-        self._pump()
+        self.estimates.record(message.job.dispatch.stage, message.reply)
+        self._finish(execution, message.reply)
+        self._start_queued()
 
-    def tombstone(self, ask: Tombstone, reply_to: ReplyTo) -> None:
+    def tombstone(self, message: Tombstone, reply_to: ReplyTo) -> None:
         """Forbid an execution or tell how it stands."""
-        reply = self.table.tombstone(ask, self.node.clock.now())
+        reply = self.table.tombstone(message, self.node.clock.now())
         self.node.events.emit(
             logger,
             Event.tombstoned,
-            stage=ask.stage,
-            generation=ask.generation,
+            stage=message.stage,
+            generation=message.generation,
             standing=type(reply).__name__,
         )
         reply_to.send(reply)
 
-    def reconfigure(self, message: Reconfigured, reply_to: ReplyTo | None) -> None:
+    def reconfigure(self, message: ConfigurationChanged, reply_to: ReplyTo | None) -> None:
         """Take a newer configuration."""
-        self.standing.reconfigure(message.configuration, self.node.clock.now())
+        self.status.reconfigure(message.configuration, self.node.clock.now())
 
     def announce(self, announcement: Announcement, reply_to: ReplyTo | None) -> None:
         """Take in what the backend server says of itself."""
-        known = self.standing.server
-        self.standing.announced = self.node.clock.now()
-        if known == announcement:
+        previous = self.status.announcement
+        self.status.announced_at = self.node.clock.now()
+        if previous == announcement:
             return
         event = Event.server_left if announcement.leaving else Event.server_announced
         self.node.events.emit(logger, event, server=announcement.address, pool=announcement.pool)
-        self.standing.server = announcement
-        if known is None or known.address != announcement.address:
+        self.status.announcement = announcement
+        if previous is None or previous.address != announcement.address:
             if self.adapter is not None:
                 self.adapter.close()
             self.adapter = Adapter.kinds[announcement.kind](
                 address=announcement.address,
-                connections=self.standing.capacity,
+                connections=self.status.capacity,
             )
 
-    def tick(self, tick: Tick, reply_to: ReplyTo | None) -> None:
+    def tick(self, message: Tick, reply_to: ReplyTo | None) -> None:
         """Forget old rows and return the state to report."""
         now = self.node.clock.now()
-        self._count_sequence(now)
-        self.table.forget(now)
+        self._advance_sequence(now)
+        self.table.expire(now)
         if reply_to is not None:
             reply_to.send(self.state(now))
 
-    def drain(self, drain: Drain, reply_to: ReplyTo) -> None:
+    def drain(self, message: Drain, reply_to: ReplyTo) -> None:
         """Take nothing new; reply once nothing is queued or running."""
-        self.standing.draining = True
-        self.idle.append(reply_to)
-        self._tell_idle()
+        self.status.agent_draining = True
+        self.idle_waiters.append(reply_to)
+        self._notify_idle()
 
-    def know_prefixes(self, known: PrefixesKnown, reply_to: ReplyTo | None) -> None:
+    def update_prefixes(self, message: PrefixesUpdated, reply_to: ReplyTo | None) -> None:
         """Take in what the engine has cached."""
-        self.prefixes = known.prefixes
+        self.prefixes = message.prefixes
 
-    def tell_server(self, ask: GetServer, reply_to: ReplyTo) -> None:
+    def reply_announcement(self, message: GetAnnouncement, reply_to: ReplyTo) -> None:
         """Tell the backend server's latest announcement."""
-        reply_to.send(self.standing.server)
+        reply_to.send(self.status.announcement)
 
     # -- state --------------------------------------------------------------
 
     def state(self, now: float) -> AgentState:
         """Return the state that goes into the directory."""
-        server = self.standing.server
+        announcement = self.status.announcement
         return AgentState(
             name=self.node.name,
             address=self.node.address,
@@ -214,16 +214,16 @@
             region=self.node.region,
             incarnation=self.node.incarnation,
             sequence=self.sequence,
-            pool=server.pool if server else '',
-            models=server.models if server else (),
+            pool=announcement.pool if announcement else '',
+            models=announcement.models if announcement else (),
             in_flight=len(self.running),
             queued=self.queue.count,
-            capacity=self.standing.capacity,
+            capacity=self.status.capacity,
             waits_ms=tuple(self._wait_ms(priority) for priority in range(len(PRIORITIES))),
             service_ms=self.estimates.service_ms,
             prefixes=self.prefixes,
-            draining=self.standing.is_leaving,
-            serving=self.standing.is_serving(now),
+            draining=self.status.is_draining,
+            serving=self.status.is_serving(now),
             revision=self.node.revision,
             started_ms=self.node.started_ms,
         )
@@ -232,40 +232,40 @@
         return self.estimates.wait_ms(
             priority,
             running=len(self.running),
-            capacity=self.standing.capacity,
+            capacity=self.status.capacity,
             account=account,
-            weight=self.standing.weight(account),
+            weight=self.status.weight(account),
         )
 
     # -- admission ----------------------------------------------------------
 
-    def _admit(self, offer: Offer, admitted: Admitted, reply_to: ReplyTo) -> None:
+    def _admit(self, message: SubmitDispatch, admitted: Admitted, reply_to: ReplyTo) -> None:
         execution = admitted.execution
         now = self.node.clock.now()
-        reason = self._refusal(offer, now)
+        reason = self._refusal_reason(message, now)
         self.waiters[execution.key].append(reply_to)
         if reason is not None:
             refusal = self._not_run(reason)
-            self._refused(offer.dispatch, refusal)
-            self._end(execution, refusal)
+            self._log_refusal(message.dispatch, refusal)
+            self._finish(execution, refusal)
             return
         self.queue.push(
             Job(
                 execution=execution,
-                dispatch=offer.dispatch,
-                deadline=now + offer.dispatch.time_left_ms / MS_PER_S,
-                offered=now,
-                cost_ms=self.estimates.cost_ms(offer.dispatch),
-                weight=self.standing.weight(offer.dispatch.account),
-                on_text=offer.on_text,
+                dispatch=message.dispatch,
+                deadline=now + message.dispatch.time_left_ms / MS_PER_S,
+                queued_at=now,
+                cost_ms=self.estimates.cost_ms(message.dispatch),
+                weight=self.status.weight(message.dispatch.account),
+                on_text=message.on_text,
             ),
         )
-        self._pump()
+        self._start_queued()
 
-    def _refusal(self, offer: Offer, now: float) -> RefusalReason | None:
-        dispatch = offer.dispatch
-        reason = self.standing.refusal(dispatch, offer.revision, now)
-        pool = self.standing.pool
+    def _refusal_reason(self, message: SubmitDispatch, now: float) -> RefusalReason | None:
+        dispatch = message.dispatch
+        reason = self.status.refusal_reason(dispatch, message.revision, now)
+        pool = self.status.pool
         if reason is not None or pool is None or not self.shed:
             return reason
         wait_ms = self._wait_ms(dispatch.priority, dispatch.account)
@@ -274,20 +274,20 @@
     def _not_run(self, reason: RefusalReason) -> StageNotRun:
         return StageNotRun(
             reason=reason,
-            retry_after_ms=self.estimates.retry_after_ms(self.standing.capacity),
+            retry_after_ms=self.estimates.retry_after_ms(self.status.capacity),
         )
 
     # -- execution ----------------------------------------------------------
 
-    def _pump(self) -> None:
-        while len(self.running) < self.standing.capacity:
+    def _start_queued(self) -> None:
+        while len(self.running) < self.status.capacity:
             job = self.queue.pop()
             if job is None:
                 break
-            self._start(job)
-        self._tell_idle()
+            self._start_job(job)
+        self._notify_idle()
 
-    def _start(self, job: Job) -> None:
+    def _start_job(self, job: Job) -> None:
         now = self.node.clock.now()
         execution = job.execution
         left_ms = (job.deadline - now) * MS_PER_S
@@ -296,17 +296,17 @@
         needed_ms = self.estimates.cost_ms(dispatch) + dispatch.reserve_ms if self.shed else 0
         if execution.state is not ExecutionState.queued:
             return
-        pool = self.standing.pool
+        pool = self.status.pool
         if pool is None or self.adapter is None:
-            self._end(execution, self._not_run(RefusalReason.no_server))
+            self._finish(execution, self._not_run(RefusalReason.no_server))
             return
         if left_ms <= needed_ms:
-            self._end(execution, self._not_run(RefusalReason.deadline))
+            self._finish(execution, self._not_run(RefusalReason.deadline))
             return
         if not self.table.start(execution, now):
             return
-        cancel = Cancel()
-        self.running[execution.key] = (job, cancel)
+        cancellation = Cancellation()
+        self.running[execution.key] = (job, cancellation)
         self.node.events.emit(
             logger,
             Event.execution_started,
@@ -317,14 +317,14 @@
         call = Call(
             dispatch=job.dispatch,
             pool=pool,
-            budget_s=left_ms / MS_PER_S,
-            cancel=cancel,
+            timeout_s=left_ms / MS_PER_S,
+            cancellation=cancellation,
             on_text=job.on_text,
         )
-        self.workers.submit(_carry_out, self.actor_ref, self.adapter, call, job)
+        self.workers.submit(_run_call, self.actor_ref, self.adapter, call, job)
 
-    def _end(self, execution: Execution, reply: StageReply) -> None:
-        self.table.end(execution, reply, self.node.clock.now())
+    def _finish(self, execution: Execution, reply: StageReply) -> None:
+        self.table.finish(execution, reply, self.node.clock.now())
         self.node.events.emit(
             logger,
             Event.execution_ended,
@@ -334,24 +334,24 @@
         )
         waiters = self.waiters.pop(execution.key, ())
         if waiters:
-            word = self._word(reply)
+            dispatch_reply = self._dispatch_reply(reply)
             for waiter in waiters:
-                waiter.send(word)
+                waiter.send(dispatch_reply)
 
-    def _word(self, reply: StageReply) -> DispatchReply:
+    def _dispatch_reply(self, reply: StageReply) -> DispatchReply:
         """Return what the sender is told; its view is corrected on the way."""
         busy = len(self.running) + self.queue.count
         if not isinstance(reply, StageNotRun):
             return DispatchReply(reply=reply, busy=busy)
         now = self.node.clock.now()
-        self._count_sequence(now)
+        self._advance_sequence(now)
         return DispatchReply(reply=reply, busy=busy, state=self.state(now))
 
-    def _count_sequence(self, now: float) -> None:
+    def _advance_sequence(self, now: float) -> None:
         self.sequence += 1
-        self.table.note_sequence(self.sequence, now)
+        self.table.record_sequence(self.sequence, now)
 
-    def _refused(self, dispatch: Dispatch, reply: StageReply) -> None:
+    def _log_refusal(self, dispatch: Dispatch, reply: StageReply) -> None:
         if isinstance(reply, StageNotRun):
             self.node.events.emit(
                 logger,
@@ -361,32 +361,32 @@
                 reason=reply.reason.value,
             )
 
-    def _tell_idle(self) -> None:
-        if self.standing.draining and not self.running and not self.queue.count:
-            for waiter in self.idle:
+    def _notify_idle(self) -> None:
+        if self.status.agent_draining and not self.running and not self.queue.count:
+            for waiter in self.idle_waiters:
                 waiter.send(True)
-            self.idle.clear()
+            self.idle_waiters.clear()
 
 
-def _carry_out(actor: pykka.ActorRef[ServerActor], adapter: Adapter, call: Call, job: Job) -> None:
+def _run_call(actor: pykka.ActorRef[ServerActor], adapter: Adapter, call: Call, job: Job) -> None:
     """Execute on a worker thread and hand the reply to the actor."""
     try:
         reply = adapter.execute(call)
     except Exception as error:
         logger.exception('execution broke')
-        reply = adapter.lost(call, str(error))
-    actor.tell(Concluded(job=job, reply=reply))
+        reply = adapter.failure_reply(call, str(error))
+    actor.tell(ExecutionFinished(job=job, reply=reply))
 
 
 _HANDLERS = {  # noqa: WPS407 - one per message type
-    Offer: ServerActor.offer,
-    Abandon: ServerActor.abandon,
-    Concluded: ServerActor.conclude,
+    SubmitDispatch: ServerActor.submit,
+    CancelDispatch: ServerActor.cancel,
+    ExecutionFinished: ServerActor.finish,
     Tombstone: ServerActor.tombstone,
-    Reconfigured: ServerActor.reconfigure,
+    ConfigurationChanged: ServerActor.reconfigure,
     Announcement: ServerActor.announce,
     Tick: ServerActor.tick,
-    PrefixesKnown: ServerActor.know_prefixes,
-    GetServer: ServerActor.tell_server,
+    PrefixesUpdated: ServerActor.update_prefixes,
+    GetAnnouncement: ServerActor.reply_announcement,
     Drain: ServerActor.drain,
 }
--- a/ringseam/agent/servermessages.py
+++ b/ringseam/agent/servermessages.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Offer:
+class SubmitDispatch:
     """A dispatch with the configuration revision its sender holds."""
 
     dispatch: Dispatch
@@ -23,14 +23,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Abandon:
+class CancelDispatch:
     """Nobody waits for this dispatch any more."""
 
     dispatch: Dispatch
 
 
 @dataclass(frozen=True, kw_only=True)
-class Concluded:
+class ExecutionFinished:
     """A worker thread carried out an execution."""
 
     job: Job
@@ -38,14 +38,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Reconfigured:
+class ConfigurationChanged:
     """A newer configuration is in force."""
 
     configuration: Configuration
 
 
 @dataclass(frozen=True, kw_only=True)
-class PrefixesKnown:
+class PrefixesUpdated:
     """What the engine has cached, as far as its events are trusted."""
 
     prefixes: tuple[int, ...]
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class GetServer:
+class GetAnnouncement:
     """Ask for the latest :class:`Announcement`, or None."""
 
 
--- a/tests/test_agent/test_agent_orders.py
+++ b/tests/test_agent/test_agent_orders.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ringseam.agent.orders import FRESH_S, OrderGiver, OrderOutcome
+from ringseam.agent.orders import MAX_CHECK_AGE_S, OrderOutcome, OrderSender
 from ringseam.clock import PausedClock
 from ringseam.control.state import StateMachine, encode_command
 from ringseam.errors import UnreachableError
@@ -19,13 +19,13 @@
     """Commit commands to a state machine, as a healthy group would."""
 
     def __init__(self):
-        self.machine = StateMachine()
-        self.reached = True
+        self.state_machine = StateMachine()
+        self.is_reachable = True
 
     async def ask_leader(self, method, request, *, timeout_s):
-        if not self.reached:
+        if not self.is_reachable:
             raise UnreachableError('control is cut off')
-        return self.machine.apply(encode_command(request.command))
+        return self.state_machine.apply(encode_command(request.command))
 
 
 @pytest.fixture(params=[True, False], ids=['checks tokens', 'ignores tokens'])
@@ -48,46 +48,46 @@
     assert threading.active_count()
 
 
-def giver(control, engine):
-    return OrderGiver(control=control, clock=PausedClock(), server=engine.address)
+def new_sender(control, engine):
+    return OrderSender(control=control, clock=PausedClock(), server=engine.address)
 
 
-def order(agent, *models):
-    return asyncio.run(agent.load_models(models))
+def load_models(sender, *models):
+    return asyncio.run(sender.load_models(models))
 
 
-def test_old_agent_after_the_new_one(engine):
+def test_old_agent_is_superseded_by_the_new_one(engine):
     control = FakeControl()
-    old, new = giver(control, engine), giver(control, engine)
-    assert order(old, 'a') is OrderOutcome.done
-    assert order(new, 'b') is OrderOutcome.done
-    assert order(old, 'a') is OrderOutcome.superseded
+    old, new = new_sender(control, engine), new_sender(control, engine)
+    assert load_models(old, 'a') is OrderOutcome.done
+    assert load_models(new, 'b') is OrderOutcome.done
+    assert load_models(old, 'a') is OrderOutcome.superseded
     assert engine.models == ('b',)
 
 
 def test_frozen_between_check_and_order(engine):
     control = FakeControl()
-    old = giver(control, engine)
-    assert order(old, 'a') is OrderOutcome.done
-    asked = old.clock.now()
-    old.clock.advance(FRESH_S + 1)
-    assert asyncio.run(old.send(('x',), asked)) is OrderOutcome.stale
+    old = new_sender(control, engine)
+    assert load_models(old, 'a') is OrderOutcome.done
+    checked_at = old.clock.now()
+    old.clock.advance(MAX_CHECK_AGE_S + 1)
+    assert asyncio.run(old.send_if_fresh(('x',), checked_at)) is OrderOutcome.stale
     assert engine.models == ('a',)
 
 
 def test_no_order_without_control(engine):
     control = FakeControl()
-    agent = giver(control, engine)
-    control.reached = False
-    assert order(agent, 'a') is OrderOutcome.unreachable
+    sender = new_sender(control, engine)
+    control.is_reachable = False
+    assert load_models(sender, 'a') is OrderOutcome.unreachable
     assert engine.models == ()
 
 
-def test_checking_engine_refuses_an_old_number(engine):
+def test_checking_engine_refuses_an_old_token(engine):
     control = FakeControl()
-    old, new = giver(control, engine), giver(control, engine)
-    order(old, 'a')
-    order(new, 'b')
+    old, new = new_sender(control, engine), new_sender(control, engine)
+    load_models(old, 'a')
+    load_models(new, 'b')
     late = old.post(('a',))
     if engine.faults.checks_fencing:
         assert late is OrderOutcome.refused
--- a/tests/test_agent/test_agent_queue.py
+++ b/tests/test_agent/test_agent_queue.py
@@ -15,25 +15,25 @@
 
 
 def job(number, account='a', priority=1, deadline=10.0, weight=1, cost_ms=10.0):
-    offered = msgspec.structs.replace(dispatch(), account=account, priority=priority)
+    submitted = msgspec.structs.replace(dispatch(), account=account, priority=priority)
     execution = Execution(
         key=ExecutionKey(account, str(number), 's'),
         generation=1,
         repeatable=True,
         state=ExecutionState.queued,
-        touched=0,
+        updated_at=0,
     )
     return Job(
         execution=execution,
-        dispatch=offered,
+        dispatch=submitted,
         deadline=deadline,
-        offered=0,
+        queued_at=0,
         cost_ms=cost_ms,
         weight=weight,
     )
 
 
-def drained(queue):
+def pop_all(queue):
     jobs = []
     while (taken := queue.pop()) is not None:
         jobs.append(taken)
@@ -64,15 +64,15 @@
             waiting.append(job(number, account, priority, cost_ms=cost_ms))
             queue.push(waiting[-1])
         assert queue.count == len(waiting)
-        assert queue.work_ms == pytest.approx(sum(known.cost_ms for known in waiting))
-    assert len(drained(queue)) == len(waiting)
+        assert queue.queued_work_ms == pytest.approx(sum(queued.cost_ms for queued in waiting))
+    assert len(pop_all(queue)) == len(waiting)
 
 
 def test_higher_class_first_and_earliest_deadline_within_an_account():
     queue = FairQueue()
     for number, (priority, deadline) in enumerate([(2, 1), (1, 9), (1, 5), (0, 9)]):
         queue.push(job(number, priority=priority, deadline=deadline))
-    assert [taken.execution.key.scope for taken in drained(queue)] == ['3', '2', '1', '0']
+    assert [taken.execution.key.scope for taken in pop_all(queue)] == ['3', '2', '1', '0']
 
 
 def test_large_account_does_not_delay_the_small():
@@ -97,5 +97,5 @@
     queue = FairQueue()
     for number in range(50):
         queue.push(job(number, account='large'))
-    assert queue.work_before_ms(1, 'small') < queue.work_before_ms(1, 'large')
-    assert queue.work_before_ms(0, 'large') == 0
+    assert queue.work_ahead_ms(1, 'small') < queue.work_ahead_ms(1, 'large')
+    assert queue.work_ahead_ms(0, 'large') == 0
--- a/tests/test_agent/test_agent_standing.py
+++ b/tests/test_agent/test_agent_serverstatus.py
@@ -13,14 +13,14 @@
     ServerActor,
 )
 from ringseam.agent.servermessages import (
+    ConfigurationChanged,
     Drain,
-    Offer,
-    Reconfigured,
+    SubmitDispatch,
 )
-from ringseam.agent.standing import (
+from ringseam.agent.serverstatus import (
     Announcement,
     ServerEstimates,
-    ServerStanding,
+    ServerStatus,
     time_refusal,
 )
 from ringseam.clock import PausedClock
@@ -31,9 +31,9 @@
 from tests.conftest import PART_FILE
 from tests.test_agent.test_agent_execution import dispatch
 
-GRACE_S = 3
-LOST_S = 2
-SERVED = msgspec.structs.replace(
+STALE_GRACE_S = 3
+ANNOUNCE_LOST_S = 2
+DISPATCH = msgspec.structs.replace(
     dispatch(repeatable=True),
     account='demo/inspector',
     pipeline='demo/two',
@@ -46,33 +46,33 @@
     return Configuration(revision=revision, parts={'demo': read_part(text, path='p')})
 
 
-def standing(text=PART_FILE, **own):
-    made = ServerStanding(agent='me', stale_grace_s=GRACE_S, announce_lost_s=LOST_S)
-    made.reconfigure(configuration(text), 0)
-    made.server = Announcement(address='10.0.0.1:1', pool='demo/readers', **own)
-    made.announced = 0
-    return made
+def new_status(text=PART_FILE, **own):
+    status = ServerStatus(agent='me', stale_grace_s=STALE_GRACE_S, announce_lost_s=ANNOUNCE_LOST_S)
+    status.reconfigure(configuration(text), 0)
+    status.announcement = Announcement(address='10.0.0.1:1', pool='demo/readers', **own)
+    status.announced_at = 0
+    return status
 
 
 DRAINED = PART_FILE.replace('[pool readers]', '[pool readers]\ndrain = other, me')
 CASES = (
-    ('served', standing, SERVED, 5, 0, None),
-    ('drained by file', lambda: standing(DRAINED), SERVED, 5, 0, RefusalReason.draining),
-    ('server leaves', lambda: standing(leaving=True), SERVED, 5, 0, RefusalReason.draining),
-    ('silent server', standing, SERVED, 5, LOST_S + 0.1, RefusalReason.no_server),
-    ('older within the grace', standing, SERVED, 4, GRACE_S - 1.5, None),
+    ('served', new_status, DISPATCH, 5, 0, None),
+    ('drained by file', lambda: new_status(DRAINED), DISPATCH, 5, 0, RefusalReason.draining),
+    ('server leaves', lambda: new_status(leaving=True), DISPATCH, 5, 0, RefusalReason.draining),
+    ('silent server', new_status, DISPATCH, 5, ANNOUNCE_LOST_S + 0.1, RefusalReason.no_server),
+    ('older within the grace', new_status, DISPATCH, 4, STALE_GRACE_S - 1.5, None),
     (
         'another pool',
-        standing,
-        msgspec.structs.replace(SERVED, pool='demo/signals'),
+        new_status,
+        msgspec.structs.replace(DISPATCH, pool='demo/signals'),
         5,
         0,
         RefusalReason.no_server,
     ),
     (
         'no grant',
-        standing,
-        msgspec.structs.replace(SERVED, pipeline='other/two'),
+        new_status,
+        msgspec.structs.replace(DISPATCH, pipeline='other/two'),
         5,
         0,
         RefusalReason.unauthorised_pool,
@@ -81,30 +81,30 @@
 
 
 @pytest.mark.parametrize(
-    ('make', 'offered', 'revision', 'now', 'reason'),
+    ('make', 'submitted', 'revision', 'now', 'reason'),
     [case[1:] for case in CASES],
     ids=[case[0] for case in CASES],
 )
-def test_refusals(make, offered, revision, now, reason):
-    assert make().refusal(offered, revision, now) is reason
+def test_refusals(make, submitted, revision, now, reason):
+    assert make().refusal_reason(submitted, revision, now) is reason
 
 
 def test_older_revision_is_refused_after_the_grace():
-    made = standing()
-    made.announced = GRACE_S + 1
-    assert made.refusal(SERVED, 4, GRACE_S + 1) is RefusalReason.stale_revision
-    assert made.refusal(SERVED, 5, GRACE_S + 1) is None
-    assert made.refusal(SERVED, 6, GRACE_S + 1) is None
+    status = new_status()
+    status.announced_at = STALE_GRACE_S + 1
+    assert status.refusal_reason(DISPATCH, 4, STALE_GRACE_S + 1) is RefusalReason.stale_revision
+    assert status.refusal_reason(DISPATCH, 5, STALE_GRACE_S + 1) is None
+    assert status.refusal_reason(DISPATCH, 6, STALE_GRACE_S + 1) is None
 
 
-def test_revisions_are_not_kept_for_ever():
-    made = standing()
+def test_number_of_remembered_revisions_is_limited():
+    status = new_status()
     for revision in range(6, 1000):
-        made.reconfigure(configuration(revision=revision), revision)
-    assert len(made.revisions) < 100
+        status.reconfigure(configuration(revision=revision), revision)
+    assert len(status.revision_times) < 100
 
 
-TIMES = (
+TIME_REFUSALS = (
     ('in time', 10, 50, None),
     ('long queue', 300, 50, RefusalReason.queue_full),
     ('too slow', 0, 1001, RefusalReason.deadline),
@@ -112,20 +112,22 @@
 
 
 @pytest.mark.parametrize(
-    ('wait_ms', 'cost_ms', 'reason'), [case[1:] for case in TIMES], ids=[c[0] for c in TIMES]
+    ('wait_ms', 'cost_ms', 'reason'),
+    [case[1:] for case in TIME_REFUSALS],
+    ids=[case[0] for case in TIME_REFUSALS],
 )
-def test_time(wait_ms, cost_ms, reason):
+def test_time_refusal(wait_ms, cost_ms, reason):
     pool = configuration().pool('demo/readers')
-    assert time_refusal(SERVED, pool, wait_ms, cost_ms) is reason
+    assert time_refusal(DISPATCH, pool, wait_ms, cost_ms) is reason
 
 
-def test_failures_say_nothing_of_speed():
+def test_failures_do_not_change_the_estimates():
     estimates = ServerEstimates(queue=FairQueue())
-    estimates.learn('s', StageFailed(detail='', server_ms=1, status=500))
+    estimates.record('s', StageFailed(detail='', server_ms=1, status=500))
     assert estimates.service_ms == 0
 
 
-class Waiter:
+class ReplyWaiter:
     """A reply that a test waits for."""
 
     def __init__(self):
@@ -141,7 +143,7 @@
         return self.reply
 
 
-class HeldAdapter(Adapter):
+class BlockingAdapter(Adapter):
     """An adapter whose executions end when the test says so."""
 
     kind = 'held'
@@ -164,52 +166,52 @@
     node = Node(
         name='me', role='agent', address='', secret=b'k', clock=PausedClock(), incarnation='i'
     )
-    started = ServerActor.start(
+    server_actor = ServerActor.start(
         node=node,
         queue='fair',
         shed=True,
         threads=4,
-        memory_s=600,
-        stale_grace_s=GRACE_S,
-        announce_lost_s=LOST_S,
+        retention_s=600,
+        stale_grace_s=STALE_GRACE_S,
+        announce_lost_s=ANNOUNCE_LOST_S,
     )
-    HeldAdapter.release.clear()
+    BlockingAdapter.release.clear()
     text = PART_FILE.replace('[pool readers]', '[pool readers]\nmax_in_flight = 1')
-    started.tell(Reconfigured(configuration=configuration(text)))
-    started.tell(Announcement(address='127.0.0.1:1', pool='demo/readers', kind='held'))
-    yield started
-    HeldAdapter.release.set()
-    started.stop()
+    server_actor.tell(ConfigurationChanged(configuration=configuration(text)))
+    server_actor.tell(Announcement(address='127.0.0.1:1', pool='demo/readers', kind='held'))
+    yield server_actor
+    BlockingAdapter.release.set()
+    server_actor.stop()
 
 
-def offer(actor, request):
-    waiter = Waiter()
-    offered = msgspec.structs.replace(
-        SERVED, request_id=request, ticket=Ticket(incarnation='i', sequence=0)
+def submit(actor, request):
+    waiter = ReplyWaiter()
+    submitted = msgspec.structs.replace(
+        DISPATCH, request_id=request, ticket=Ticket(incarnation='i', sequence=0)
     )
-    actor.tell(Ask(body=Offer(dispatch=offered, revision=5), reply_to=waiter))
+    actor.tell(Ask(body=SubmitDispatch(dispatch=submitted, revision=5), reply_to=waiter))
     return waiter
 
 
 def test_queued_work_is_answered_when_its_pool_is_removed(actor):
-    running, queued = offer(actor, 'r1'), offer(actor, 'r2')
+    running, queued = submit(actor, 'r1'), submit(actor, 'r2')
     other = '[part]\nname = demo\noperator_token_sha256 = ' + 'a' * 64 + '\n'
-    actor.tell(Reconfigured(configuration=configuration(other, revision=6)))
-    HeldAdapter.release.set()
+    actor.tell(ConfigurationChanged(configuration=configuration(other, revision=6)))
+    BlockingAdapter.release.set()
     assert isinstance(running.get().reply, StageDone)
-    word = queued.get()
-    assert isinstance(word.reply, StageNotRun)
-    assert word.reply.reason is RefusalReason.no_server
+    dispatch_reply = queued.get()
+    assert isinstance(dispatch_reply.reply, StageNotRun)
+    assert dispatch_reply.reply.reason is RefusalReason.no_server
 
 
 def test_drain_lets_queued_work_end_and_refuses_new(actor):
-    first, second, idle = offer(actor, 'r1'), offer(actor, 'r2'), Waiter()
+    first, second, idle = submit(actor, 'r1'), submit(actor, 'r2'), ReplyWaiter()
     actor.tell(Ask(body=Drain(), reply_to=idle))
-    refused = offer(actor, 'r3').get()
+    refused = submit(actor, 'r3').get()
     assert refused.reply.reason is RefusalReason.draining
     assert refused.state.draining
     assert not idle.arrived.is_set()
-    HeldAdapter.release.set()
+    BlockingAdapter.release.set()
     assert isinstance(first.get().reply, StageDone)
     assert isinstance(second.get().reply, StageDone)
     assert idle.get()
--- a/tests/test_entry/test_entry_claims.py
+++ b/tests/test_entry/test_entry_claims.py
@@ -60,8 +60,8 @@
 
     def new_agent(self):
         self.incarnation = f'incarnation-{self.clock.now()}'
-        self.table = ExecutionTable(incarnation=self.incarnation, memory_s=MEMORY_S)
-        self.table.note_sequence(1, self.clock.now())
+        self.table = ExecutionTable(incarnation=self.incarnation, retention_s=MEMORY_S)
+        self.table.record_sequence(1, self.clock.now())
 
     def state(self):
         return AgentState(
@@ -76,7 +76,7 @@
         )
 
     def dispatch(self, dispatch):
-        decision = self.table.offer(dispatch, self.clock.now())
+        decision = self.table.decide(dispatch, self.clock.now())
         if isinstance(decision, Answered):
             return decision.reply
         if not isinstance(decision, Admitted):
@@ -93,7 +93,7 @@
             body=b'answer',
             server_ms=1,
         )
-        self.table.end(decision.execution, reply, self.clock.now())
+        self.table.finish(decision.execution, reply, self.clock.now())
         return reply
 
 
@@ -268,8 +268,8 @@
         await frozen.stopped.wait()
         for second in range(2, 2 * MEMORY_S, 10):
             world.clock.advance(10)
-            world.table.note_sequence(second, world.clock.now())
-            world.table.forget(world.clock.now())
+            world.table.record_sequence(second, world.clock.now())
+            world.table.expire(world.clock.now())
         frozen.woken.set()
         assert await asked in {'not-run', 'unknown', 'failed'}
         assert world.runs == 0
--- a/tests/test_entry/test_entry_guard.py
+++ b/tests/test_entry/test_entry_guard.py
@@ -32,13 +32,13 @@
     def dispatch(self, dispatch):
         if dispatch.body != ENDING:
             return super().dispatch(dispatch)
-        decision = self.table.offer(dispatch, self.clock.now())
+        decision = self.table.decide(dispatch, self.clock.now())
         if not isinstance(decision, Admitted):
             return decision.reply
         self.table.start(decision.execution, self.clock.now())
         self.runs += 1
         reply = StageUnknown(detail='connection lost', server_ended=self.ended)
-        self.table.end(decision.execution, reply, self.clock.now())
+        self.table.finish(decision.execution, reply, self.clock.now())
         return reply
 
 
@@ -109,6 +109,6 @@
         address = f'127.0.0.1:{server.getsockname()[1]}'
         adapter = ServiceAdapter(address=address, connections=1)
         if listens:
-            assert not adapter.has_ended()
+            assert not adapter.refuses_connections()
     if not listens:
-        assert adapter.has_ended()
+        assert adapter.refuses_connections()
