--- a/ringseam/gateway/engines/placement.py
+++ b/ringseam/gateway/engines/placement.py
@@ -206,7 +206,7 @@
         *,
         peers: Collection[str] = (),
     ) -> float:
-        """Return after how long a rate-limited engine has a send permit; 0: none is limited."""
+        """Return the least time until a rate-limited engine has a send permit, or 0."""
         waits = [
             self.pace.limit_wait_s(engine.instance, now, peers=peers)
             for engine in engines
--- a/ringseam/gateway/stages/waitestimate.py
+++ b/ringseam/gateway/stages/waitestimate.py
@@ -10,7 +10,7 @@
 
 #: Clients that retry after a refusal are assumed to get at least this share of the
 #: throughput, so that their estimated wait is long but finite.
-_LEAST_SHARE = 0.02
+_MIN_RETRY_SHARE = 0.02
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -37,7 +37,7 @@
 
         The pieces ahead of it are processed at the observed rate. Pieces of clients that
         retry after a refusal are served after all others, so their estimate also counts the
-        expected new arrivals; without these it would be far too short under overload.
+        expected new arrivals; otherwise these clients would wait for service that never comes.
         """
         if not self.departures_per_s:
             return 0
@@ -46,7 +46,7 @@
         )
         rate = self.departures_per_s
         if precedence.returned:
-            rate = max(rate - self.arrivals_per_s, _LEAST_SHARE * rate)
+            rate = max(rate - self.arrivals_per_s, _MIN_RETRY_SHARE * rate)
         return self.until_free_s + count_ahead / rate
 
     @property
