--- a/ringseam/agent/server.py
+++ b/ringseam/agent/server.py
@@ -1,4 +1,4 @@
-"""The actor that is the single writer for one backend server."""
+"""The actor that owns the queue and the executions of one backend server."""
 
 from __future__ import annotations
 
@@ -58,7 +58,10 @@
 
 
 class ServerActor(pykka.ThreadingActor):
-    """Own the queue and the execution table of one backend server."""
+    """Owns the queue and the execution table of one backend server.
+
+    All changes pass through its inbox, so they need no locks.
+    """
 
     use_daemon_thread = True
 
@@ -73,7 +76,7 @@
         stale_grace_s: float,
         announce_lost_s: float,
     ) -> None:
-        """Begin without a server, a configuration or work."""
+        """Create the actor without an announced server, a configuration or work."""
         super().__init__()
         self.node = node
         self.queue: StageQueue = StageQueue.kinds[queue]()
@@ -94,7 +97,7 @@
         self.prefixes: tuple[int, ...] = ()
 
     def on_receive(self, message: Any) -> None:
-        """Handle one message."""
+        """Pass the message to its handler."""
         reply_to = None
         body = message
         if isinstance(message, Ask):
@@ -102,13 +105,13 @@
         _HANDLERS[type(body)](self, body, reply_to)
 
     def on_stop(self) -> None:
-        """End the worker threads."""
+        """Shut down the worker threads without waiting for them."""
         self.workers.shutdown(wait=False, cancel_futures=True)
 
     # -- messages -----------------------------------------------------------
 
     def submit(self, message: SubmitDispatch, reply_to: ReplyTo) -> None:
-        """Decide on a dispatch and queue it when it may run."""
+        """Decide on a dispatch and queue it if it is admitted."""
         dispatch = message.dispatch
         decision = self.table.decide(dispatch, self.node.clock.now())
         if isinstance(decision, Answered):
@@ -120,7 +123,7 @@
             self._admit(message, decision, reply_to)
 
     def cancel(self, message: CancelDispatch, reply_to: ReplyTo | None) -> None:
-        """Cancel repeatable work that nobody waits for."""
+        """Cancel a repeatable execution that no caller waits for."""
         key = execution_key(message.dispatch)
         execution = self.table.executions.get(key)
         if execution is None or not execution.repeatable:
@@ -140,7 +143,7 @@
             running[1].cancel()
 
     def finish(self, message: ExecutionFinished, reply_to: ReplyTo | None) -> None:
-        """Record an execution's reply, tell it and start the next."""
+        """Record and send the reply of an execution, then start queued jobs."""
         execution = message.job.execution
         self.running.pop(execution.key, None)
         self.estimates.record(message.job.dispatch.stage, message.reply)
@@ -148,7 +151,7 @@
         self._start_queued()
 
     def tombstone(self, message: Tombstone, reply_to: ReplyTo) -> None:
-        """Forbid an execution or tell how it stands."""
+        """Forbid an execution that is neither queued nor has run, else return its progress."""
         reply = self.table.tombstone(message, self.node.clock.now())
         self.node.events.emit(
             logger,
@@ -160,11 +163,11 @@
         reply_to.send(reply)
 
     def reconfigure(self, message: ConfigurationChanged, reply_to: ReplyTo | None) -> None:
-        """Take a newer configuration."""
+        """Apply a newer configuration."""
         self.status.reconfigure(message.configuration, self.node.clock.now())
 
     def announce(self, announcement: Announcement, reply_to: ReplyTo | None) -> None:
-        """Take in what the backend server says of itself."""
+        """Apply an announcement; create a new adapter if the address changed."""
         previous = self.status.announcement
         self.status.announced_at = self.node.clock.now()
         if previous == announcement:
@@ -181,7 +184,7 @@
             )
 
     def tick(self, message: Tick, reply_to: ReplyTo | None) -> None:
-        """Forget old rows and return the state to report."""
+        """Drop expired executions and reply with the state to report."""
         now = self.node.clock.now()
         self._advance_sequence(now)
         self.table.expire(now)
@@ -189,23 +192,23 @@
             reply_to.send(self.state(now))
 
     def drain(self, message: Drain, reply_to: ReplyTo) -> None:
-        """Take nothing new; reply once nothing is queued or running."""
+        """Refuse new work; reply once nothing is queued or running."""
         self.status.agent_draining = True
         self.idle_waiters.append(reply_to)
         self._notify_idle()
 
     def update_prefixes(self, message: PrefixesUpdated, reply_to: ReplyTo | None) -> None:
-        """Take in what the engine has cached."""
+        """Replace the list of prefixes that the engine has cached."""
         self.prefixes = message.prefixes
 
     def reply_announcement(self, message: GetAnnouncement, reply_to: ReplyTo) -> None:
-        """Tell the backend server's latest announcement."""
+        """Reply with the latest announcement of the backend server, or None."""
         reply_to.send(self.status.announcement)
 
     # -- state --------------------------------------------------------------
 
     def state(self, now: float) -> AgentState:
-        """Return the state that goes into the directory."""
+        """Return the state that is published in the directory."""
         announcement = self.status.announcement
         return AgentState(
             name=self.node.name,
@@ -291,7 +294,7 @@
         now = self.node.clock.now()
         execution = job.execution
         left_ms = (job.deadline - now) * MS_PER_S
-        # Refused now, it still has time to run on a faster server.
+        # A refusal at this point leaves enough time to run on a faster server.
         dispatch = job.dispatch
         needed_ms = self.estimates.cost_ms(dispatch) + dispatch.reserve_ms if self.shed else 0
         if execution.state is not ExecutionState.queued:
@@ -339,7 +342,7 @@
                 waiter.send(dispatch_reply)
 
     def _dispatch_reply(self, reply: StageReply) -> DispatchReply:
-        """Return what the sender is told; its view is corrected on the way."""
+        """Return the reply to the sender; a refusal includes the state to update its view."""
         busy = len(self.running) + self.queue.count
         if not isinstance(reply, StageNotRun):
             return DispatchReply(reply=reply, busy=busy)
@@ -369,11 +372,11 @@
 
 
 def _run_call(actor: pykka.ActorRef[ServerActor], adapter: Adapter, call: Call, job: Job) -> None:
-    """Execute on a worker thread and hand the reply to the actor."""
+    """Execute the call on a worker thread and send the reply to the actor."""
     try:
         reply = adapter.execute(call)
     except Exception as error:
-        logger.exception('execution broke')
+        logger.exception('unexpected error during an execution')
         reply = adapter.failure_reply(call, str(error))
     actor.tell(ExecutionFinished(job=job, reply=reply))
 
--- a/ringseam/agent/servermessages.py
+++ b/ringseam/agent/servermessages.py
@@ -1,4 +1,4 @@
-"""What the actor of a backend server is told and asked."""
+"""Messages to the actor of a backend server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SubmitDispatch:
-    """A dispatch with the configuration revision its sender holds."""
+    """Execute a dispatch; ``revision`` is the sender's configuration revision."""
 
     dispatch: Dispatch
     revision: int
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CancelDispatch:
-    """Nobody waits for this dispatch any more."""
+    """Cancel a dispatch whose caller no longer waits for it."""
 
     dispatch: Dispatch
 
 
 @dataclass(frozen=True, kw_only=True)
 class ExecutionFinished:
-    """A worker thread carried out an execution."""
+    """A worker thread has finished an execution."""
 
     job: Job
     reply: StageReply
@@ -39,28 +39,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationChanged:
-    """A newer configuration is in force."""
+    """A newer configuration has come into force."""
 
     configuration: Configuration
 
 
 @dataclass(frozen=True, kw_only=True)
 class PrefixesUpdated:
-    """What the engine has cached, as far as its events are trusted."""
+    """The engine's cached prefixes have been read; empty when they are unknown."""
 
     prefixes: tuple[int, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Tick:
-    """Time passed; expire, forget and report."""
+    """Drop expired executions and reply with the state to report."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class GetAnnouncement:
-    """Ask for the latest :class:`Announcement`, or None."""
+    """Reply with the latest :class:`Announcement`, or None."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Drain:
-    """A planned stop began: take nothing new."""
+    """Refuse new work because of a planned stop; reply when idle."""
--- a/tests/test_agent/test_agent_execution.py
+++ b/tests/test_agent/test_agent_execution.py
@@ -1,4 +1,4 @@
-"""At most once, whatever order claims, dispatches and tombstones come in."""
+"""At most one execution, in whatever order claims, dispatches and tombstones arrive."""
 
 from __future__ import annotations
 
@@ -173,7 +173,7 @@
 
 
 class LedgerAndAgents:
-    """One ledger, two agents that restart, and messages in any order."""
+    """A ledger and two restarting agents that exchange messages in any order."""
 
     def __init__(self):
         self.now = 0.0
@@ -244,7 +244,7 @@
             self.concluded_not_run.add(generation)
 
     def deliver(self, choice):
-        """Deliver any dispatch in transit, also once more."""
+        """Deliver a dispatch in transit, which may have been delivered before."""
         if not self.in_transit:
             return
         arriving = self.in_transit[choice % len(self.in_transit)]
--- a/tests/test_agent/test_agent_orders.py
+++ b/tests/test_agent/test_agent_orders.py
@@ -1,4 +1,4 @@
-"""Orders of an old agent after a new one's, to both kinds of engine."""
+"""An old agent's orders are stopped, whether or not the engine checks tokens."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FakeControl:
-    """Commit commands to a state machine, as a healthy group would."""
+    """Applies commands to a state machine, as a healthy control group does."""
 
     def __init__(self):
         self.state_machine = StateMachine()
@@ -24,7 +24,7 @@
 
     async def ask_leader(self, method, request, *, timeout_s):
         if not self.is_reachable:
-            raise UnreachableError('control is cut off')
+            raise UnreachableError('control is unreachable')
         return self.state_machine.apply(encode_command(request.command))
 
 
@@ -93,4 +93,4 @@
         assert late is OrderOutcome.refused
         assert engine.models == ('b',)
     else:
-        assert late is OrderOutcome.done  # why the agent must be the guard
+        assert late is OrderOutcome.done  # so the agent has to check the token
--- a/tests/test_agent/test_agent_queue.py
+++ b/tests/test_agent/test_agent_queue.py
@@ -1,4 +1,4 @@
-"""Queues: order, fairness and the books, against a naive version."""
+"""Order, fairness and counters of the queues, compared with a reference list."""
 
 from __future__ import annotations
 
--- a/tests/test_agent/test_agent_serverstatus.py
+++ b/tests/test_agent/test_agent_serverstatus.py
@@ -1,4 +1,4 @@
-"""Who may run what on a server, as a table; and the actor around it."""
+"""Refusals of dispatches by server status and time, and the actor's replies."""
 
 from __future__ import annotations
 
@@ -128,7 +128,7 @@
 
 
 class ReplyWaiter:
-    """A reply that a test waits for."""
+    """Receives a reply for which a test waits."""
 
     def __init__(self):
         self.arrived = threading.Event()
@@ -144,7 +144,7 @@
 
 
 class BlockingAdapter(Adapter):
-    """An adapter whose executions end when the test says so."""
+    """An adapter whose executions finish when the test sets ``release``."""
 
     kind = 'held'
     release = threading.Event()
