--- a/ringseam/agent/server.py
+++ b/ringseam/agent/server.py
@@ -9,7 +9,7 @@
 
 import pykka
 
-from ringseam.agent.adapters import Adapter, Call, Cancellation
+from ringseam.agent.adapters import Adapter, BackendCall, Cancellation
 from ringseam.agent.execution import (
     Admitted,
     Answered,
@@ -130,19 +130,19 @@
             return
         if execution.generation != message.dispatch.generation:
             return
-        running = self.running.get(key)
+        running_call = self.running.get(key)
         if execution.state is ExecutionState.queued:
             self._finish(execution, StageNotRun(reason=RefusalReason.cancelled))
-        elif running is not None:
+        elif running_call is not None:
             self.node.events.emit(
                 logger,
                 Event.execution_cancelled,
                 request=message.dispatch.request_id,
                 stage=message.dispatch.stage,
             )
-            running[1].cancel()
+            running_call[1].cancel()
 
-    def finish(self, message: ExecutionFinished, reply_to: ReplyTo | None) -> None:
+    def complete(self, message: ExecutionFinished, reply_to: ReplyTo | None) -> None:
         """Record and send the reply of an execution, then start queued jobs."""
         execution = message.job.execution
         self.running.pop(execution.key, None)
@@ -293,7 +293,7 @@
     def _start_job(self, job: Job) -> None:
         now = self.node.clock.now()
         execution = job.execution
-        left_ms = (job.deadline - now) * MS_PER_S
+        remaining_ms = (job.deadline - now) * MS_PER_S
         # A refusal at this point leaves enough time to run on a faster server.
         dispatch = job.dispatch
         needed_ms = self.estimates.cost_ms(dispatch) + dispatch.reserve_ms if self.shed else 0
@@ -303,7 +303,7 @@
         if pool is None or self.adapter is None:
             self._finish(execution, self._not_run(RefusalReason.no_server))
             return
-        if left_ms <= needed_ms:
+        if remaining_ms <= needed_ms:
             self._finish(execution, self._not_run(RefusalReason.deadline))
             return
         if not self.table.start(execution, now):
@@ -317,10 +317,10 @@
             stage=job.dispatch.stage,
             generation=execution.generation,
         )
-        call = Call(
+        call = BackendCall(
             dispatch=job.dispatch,
             pool=pool,
-            timeout_s=left_ms / MS_PER_S,
+            timeout_s=remaining_ms / MS_PER_S,
             cancellation=cancellation,
             on_text=job.on_text,
         )
@@ -371,7 +371,9 @@
             self.idle_waiters.clear()
 
 
-def _run_call(actor: pykka.ActorRef[ServerActor], adapter: Adapter, call: Call, job: Job) -> None:
+def _run_call(
+    actor: pykka.ActorRef[ServerActor], adapter: Adapter, call: BackendCall, job: Job
+) -> None:
     """Execute the call on a worker thread and send the reply to the actor."""
     try:
         reply = adapter.execute(call)
@@ -384,7 +386,7 @@
 _HANDLERS = {  # noqa: WPS407 - one per message type
     SubmitDispatch: ServerActor.submit,
     CancelDispatch: ServerActor.cancel,
-    ExecutionFinished: ServerActor.finish,
+    ExecutionFinished: ServerActor.complete,
     Tombstone: ServerActor.tombstone,
     ConfigurationChanged: ServerActor.reconfigure,
     Announcement: ServerActor.announce,
