--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -55,14 +55,14 @@
     Mutation(
         'orders for zones are acknowledged before gateways obey them',
         'ringseam/control/zonedraining.py',
-        'await follow.wait(lambda: self._is_obeyed(done.change), CONFIRM_S)',
+        'await follow.wait(lambda: self._is_confirmed(outcome.change), CONFIRM_TIMEOUT_S)',
         'await asyncio.sleep(0)',
         ORDERS,
     ),
     Mutation(
         'orders whose sender has given up are taken',
         'ringseam/control/openinterface.py',
-        'await asyncio.sleep(_GIVEN_UP_S)',
+        'await asyncio.sleep(_DISCONNECT_GRACE_S)',
         'await asyncio.sleep(0)',
         ORDERS,
     ),
@@ -314,8 +314,8 @@
     Mutation(
         'reports of a replaced lifetime show that it lives',
         'ringseam/control/follow.py',
-        'lives=lives',
-        'lives=True',
+        'is_alive=is_alive',
+        'is_alive=True',
         'tests/test_control/test_control_quarantining.py',
     ),
     Mutation(
--- a/ringseam/control/applying.py
+++ b/ringseam/control/applying.py
@@ -34,7 +34,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Applying:
+class ApplyService:
     """Check files and commit them whole, or change nothing."""
 
     def __init__(
@@ -42,14 +42,14 @@
         *,
         node: Node,
         holder: ConfigHolder,
-        bootstrap: dict[str, str],
+        bootstrap_digests: dict[str, str],
         was_accepted: Callable[[str, int, str], Awaitable[bool]],
         commit: Callable[[ApplyFile], Awaitable[Any]],
     ) -> None:
         """Commit by ``commit``; ``bootstrap`` has digests by part."""
         self.node = node
         self.holder = holder
-        self.bootstrap = bootstrap
+        self.bootstrap_digests = bootstrap_digests
         self.was_accepted = was_accepted
         self.commit = commit
 
@@ -57,10 +57,10 @@
         """Return the reply to a request, at a host that leads for sure."""
         if not self._is_operator(request):
             return ApplyForbidden()
-        identity = config.apply_id(request.text, request.expect)
+        apply_id = config.apply_id(request.text, request.expect)
         # A resend is answered as at first, also when it would be refused now.
-        if not await self.was_accepted(request.part, request.expect, identity):
-            findings = self._findings(request)
+        if not await self.was_accepted(request.part, request.expect, apply_id):
+            findings = self._check(request)
             if findings:
                 return ApplyFindings(findings=findings)
         outcome = await self.commit(
@@ -68,7 +68,7 @@
                 part=request.part,
                 text=request.text,
                 expect=request.expect,
-                apply_id=identity,
+                apply_id=apply_id,
             ),
         )
         return self._reply(request, outcome)
@@ -96,31 +96,33 @@
                 revision=outcome.revision,
             )
             return ApplyConflict(revision=outcome.revision)
-        return redirected(outcome)
+        return redirect_if_not_leading(outcome)
 
     def _is_operator(self, request: ApplyRequest) -> bool:
         part = self.holder.current.parts.get(request.part)
-        wanted = part.operator_token_sha256 if part else self.bootstrap.get(request.part, '')
-        shown = hashlib.sha256(request.operator_token.encode()).hexdigest()
-        return bool(wanted) and hmac.compare_digest(wanted, shown)
+        expected = (
+            part.operator_token_sha256 if part else self.bootstrap_digests.get(request.part, '')
+        )
+        presented = hashlib.sha256(request.operator_token.encode()).hexdigest()
+        return bool(expected) and hmac.compare_digest(expected, presented)
 
-    def _findings(self, request: ApplyRequest) -> tuple[FindingLine, ...]:
+    def _check(self, request: ApplyRequest) -> tuple[FindingLine, ...]:
         try:
             part = config.read_part(request.text, path=request.path)
         except FindingsError as error:
-            return _lines(error.findings)
+            return _finding_lines(error.findings)
         findings = self.holder.current.foreign_findings(part, path=request.path)
         if part.name != request.part:
             findings.append(config.wrong_part(request.path, part.name, request.part))
-        return _lines(findings)
+        return _finding_lines(findings)
 
 
-def redirected(outcome: Any) -> Any:
+def redirect_if_not_leading(outcome: Any) -> Any:
     """Return an outcome, or where the leader may be instead of "not leading"."""
     return Redirect(leader=outcome.leader) if isinstance(outcome, NotLeading) else outcome
 
 
-def _lines(findings: list[Finding]) -> tuple[FindingLine, ...]:
+def _finding_lines(findings: list[Finding]) -> tuple[FindingLine, ...]:
     return tuple(
         FindingLine(
             path=finding.path,
--- a/ringseam/control/backenddirectory.py
+++ b/ringseam/control/backenddirectory.py
@@ -16,19 +16,19 @@
     from ringseam.following import WatchRequest
 
 #: Changes that are remembered for gateways that lag.
-_CHANGES_KEPT = 4096
+_MAX_REMOVED = 4096
 #: Servers that are remembered for having started again.
-_RESTARTED_KEPT = 4096
+_MAX_RESTARTED = 4096
 #: Reports are late by up to this without their server being cold for longer, seconds.
-_COLDER_S = 0.3
+_COLD_TOLERANCE_S = 0.3
 
 
 @dataclass(kw_only=True)
-class Follower:
+class FollowingGateway:
     """A gateway, when it was heard and what it has confirmed."""
 
     state: GatewayState
-    heard: float
+    last_contact: float
     since: int = 0
     number: int = 0
     #: The change of drained zones that it obeys.
@@ -42,18 +42,18 @@
     epoch: str
     started: float
     #: A server is silent after this long without a report.
-    silent_s: float
+    silence_timeout_s: float
     #: A gateway is no longer waited for after this long without a call.
-    follower_s: float
-    rows: dict[BackendId, BackendEntry] = field(default_factory=dict)
+    gateway_timeout_s: float
+    entries: dict[BackendId, BackendEntry] = field(default_factory=dict)
     #: The lifetime that has a row, by the server's name.
     lifetimes: dict[str, BackendId] = field(default_factory=dict)
     #: Lifetimes that a later start has ended.
-    ended: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(capacity=_RESTARTED_KEPT))
-    dropped: list[tuple[int, BackendId]] = field(default_factory=list)
-    followers: dict[str, Follower] = field(default_factory=dict)
+    ended: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(capacity=_MAX_RESTARTED))
+    removed: list[tuple[int, BackendId]] = field(default_factory=list)
+    gateways: dict[str, FollowingGateway] = field(default_factory=dict)
     change: int = 0
-    oldest_dropped: int = 0
+    oldest_removed: int = 0
     #: The change at which the set of gateways last became another.
     gateways_change: int = 0
 
@@ -69,17 +69,17 @@
             return False
         if current != report.instance:
             self.ended.add(current)
-            self._drop(current)
-        known = self.rows.get(report.instance)
-        if known is not None and not supersedes(report, known.report):
-            if report.sequence == known.report.sequence:
-                known.received_at = now
+            self._remove(current)
+        previous = self.entries.get(report.instance)
+        if previous is not None and not supersedes(report, previous.report):
+            if report.sequence == previous.report.sequence:
+                previous.received_at = now
             return False
-        changed = known is None or _is_news(report, known, now)
+        changed = previous is None or _is_change(report, previous, now)
         if changed:
             self.change += 1
-        change = self.change if changed or known is None else known.change
-        self.rows[report.instance] = BackendEntry(report=report, received_at=now, change=change)
+        change = self.change if changed or previous is None else previous.change
+        self.entries[report.instance] = BackendEntry(report=report, received_at=now, change=change)
         self.lifetimes[name_of(report.instance)] = report.instance
         return changed
 
@@ -90,125 +90,131 @@
         now: it may be the first that a new leader hears of the server. Any other report
         isn't from a server that has told its start before.
         """
-        known = self.lifetimes.get(report.instance)
+        lifetime = self.lifetimes.get(report.instance)
         if report.state is not BackendState.gone:
-            return None if known is not None and self._tells_its_start(known) else report
-        if known is None:
-            known = backend_id(report.instance, wall_ms)
-        return msgspec.structs.replace(report, instance=known)
+            return None if lifetime is not None and self._reports_start(lifetime) else report
+        if lifetime is None:
+            lifetime = backend_id(report.instance, wall_ms)
+        return msgspec.structs.replace(report, instance=lifetime)
 
     def expire(self, now: float) -> list[BackendId]:
         """Drop servers that fell silent and return them."""
-        silent = [name for name, row in self.rows.items() if now - row.received_at > self.silent_s]
+        silent = [
+            name
+            for name, entry in self.entries.items()
+            if now - entry.received_at > self.silence_timeout_s
+        ]
         for name in silent:
-            self._drop(name)
-        if len(self.dropped) > _CHANGES_KEPT:
-            self.oldest_dropped = self.dropped[-_CHANGES_KEPT][0]
-            self.dropped = self.dropped[-_CHANGES_KEPT:]
-        for name, follower in list(self.followers.items()):
-            if now - follower.heard > self.follower_s:
-                self.followers.pop(name)
-                self._note_gateways()
+            self._remove(name)
+        if len(self.removed) > _MAX_REMOVED:
+            self.oldest_removed = self.removed[-_MAX_REMOVED][0]
+            self.removed = self.removed[-_MAX_REMOVED:]
+        for name, gateway in list(self.gateways.items()):
+            if now - gateway.last_contact > self.gateway_timeout_s:
+                self.gateways.pop(name)
+                self._mark_gateways_changed()
         return silent
 
-    def follow(self, request: WatchRequest, now: float) -> None:
+    def record_watch(self, request: WatchRequest, now: float) -> None:
         """Hear a gateway and what it confirms."""
         name = request.gateway.name
-        known = self.followers.get(name)
+        previous = self.gateways.get(name)
         same_epoch = request.epoch == self.epoch
-        self.followers[name] = Follower(
+        self.gateways[name] = FollowingGateway(
             state=request.gateway,
-            heard=now,
+            last_contact=now,
             since=request.since if same_epoch else 0,
             number=request.number,
             zones=request.zones,
         )
-        if known is None or known.state != request.gateway:
-            self._note_gateways()
+        if previous is None or previous.state != request.gateway:
+            self._mark_gateways_changed()
 
-    def confirm(self, name: str, number: int) -> None:
+    def record_confirmation(self, name: str, number: int) -> None:
         """Hear that a document is in force at a gateway."""
-        known = self.followers.get(name)
-        if known is not None:
-            known.number = max(known.number, number)
+        gateway = self.gateways.get(name)
+        if gateway is not None:
+            gateway.number = max(gateway.number, number)
 
     def is_confirmed(self, *, change: int = 0, number: int = 0, zones: int = 0) -> bool:
         """Return whether every gateway that is heard holds this much."""
         return all(
-            follower.since >= change and follower.number >= number and follower.zones >= zones
-            for follower in self.followers.values()
+            gateway.since >= change and gateway.number >= number and gateway.zones >= zones
+            for gateway in self.gateways.values()
         )
 
-    def has_news(self, request: WatchRequest, number: int) -> bool:
+    def has_changes(self, request: WatchRequest, number: int) -> bool:
         """Return whether a gateway lacks something."""
-        known = request.epoch == self.epoch and request.since >= self.change
-        return not known or max(request.number, request.heard) < number
+        is_current = request.epoch == self.epoch and request.since >= self.change
+        return not is_current or max(request.number, request.heard) < number
 
-    def is_warm(self, now: float) -> bool:
+    def has_warmed_up(self, now: float) -> bool:
         """Return whether every living server has had the time to report."""
-        return now - self.started > self.silent_s
+        return now - self.started > self.silence_timeout_s
 
-    def news(self, request: WatchRequest, now: float) -> WatchNews:
+    def delta(self, request: WatchRequest, now: float) -> WatchNews:
         """Return what is newer than what the gateway holds."""
-        whole = request.epoch != self.epoch or request.since < self.oldest_dropped
+        whole = request.epoch != self.epoch or request.since < self.oldest_removed
         first = 0 if whole else request.since
         return WatchNews(
             epoch=self.epoch,
             upto=self.change,
             whole=whole,
-            warm=self.is_warm(now),
+            warm=self.has_warmed_up(now),
             reports=tuple(
-                _aged(row, now) for row in self.rows.values() if whole or row.change > first
+                _with_remaining_cold_time(entry, now)
+                for entry in self.entries.values()
+                if whole or entry.change > first
             ),
-            silent=() if whole else tuple(name for at, name in self.dropped if at > first),
-            gateways=self._gateways(),
+            silent=() if whole else tuple(name for change, name in self.removed if change > first),
+            gateways=self._gateway_states(),
         )
 
     def retire(self, retired: EndedLifetimes) -> None:
         """Let servers that are known to leave take no new work."""
-        for instance, row in self.rows.items():
-            if instance in retired and row.report.state is BackendState.ready:
+        for instance, entry in self.entries.items():
+            if instance in retired and entry.report.state is BackendState.ready:
                 self.change += 1
-                row.change = self.change
-                row.report = _leaving(row.report)
+                entry.change = self.change
+                entry.report = _as_draining(entry.report)
 
-    def _gateways(self) -> tuple[GatewayState, ...]:
-        return tuple(follower.state for follower in self.followers.values())
+    def _gateway_states(self) -> tuple[GatewayState, ...]:
+        return tuple(gateway.state for gateway in self.gateways.values())
 
-    def _tells_its_start(self, backend: BackendId) -> bool:
-        row = self.rows[backend]
-        return bool(start_ms_of(backend)) and row.report.state is not BackendState.gone
+    def _reports_start(self, backend: BackendId) -> bool:
+        entry = self.entries[backend]
+        return bool(start_ms_of(backend)) and entry.report.state is not BackendState.gone
 
-    def _drop(self, instance: BackendId) -> None:
-        self.rows.pop(instance)
+    def _remove(self, instance: BackendId) -> None:
+        self.entries.pop(instance)
         self.lifetimes.pop(name_of(instance))
         self.change += 1
-        self.dropped.append((self.change, instance))
+        self.removed.append((self.change, instance))
 
-    def _note_gateways(self) -> None:
+    def _mark_gateways_changed(self) -> None:
         self.change += 1
         self.gateways_change = self.change
 
 
-def _is_news(report: BackendReport, known: BackendEntry, now: float) -> bool:
-    return is_visible_change(report, known.report) or _is_colder(report, known, now)
+def _is_change(report: BackendReport, previous: BackendEntry, now: float) -> bool:
+    return is_visible_change(report, previous.report) or _is_colder(report, previous, now)
 
 
-def _is_colder(report: BackendReport, known: BackendEntry, now: float) -> bool:
+def _is_colder(report: BackendReport, previous: BackendEntry, now: float) -> bool:
     """Return whether a server says that it is cold for longer than it said before."""
-    until = known.received_at + known.report.cold_left_s
-    return report.cold_left_s > 0 and now + report.cold_left_s > until + _COLDER_S
+    cold_until = previous.received_at + previous.report.cold_left_s
+    return report.cold_left_s > 0 and now + report.cold_left_s > cold_until + _COLD_TOLERANCE_S
 
 
-def _aged(row: BackendEntry, now: float) -> BackendReport:
+def _with_remaining_cold_time(entry: BackendEntry, now: float) -> BackendReport:
     """Return a report with what is left of a server's cold time."""
-    if not row.report.cold_left_s:
-        return row.report
-    left_s = max(0, row.received_at + row.report.cold_left_s - now)
-    return msgspec.structs.replace(row.report, cold_left_s=left_s)
+    if not entry.report.cold_left_s:
+        return entry.report
+    remaining_s = max(0, entry.received_at + entry.report.cold_left_s - now)
+    return msgspec.structs.replace(entry.report, cold_left_s=remaining_s)
 
 
-def _leaving(report: BackendReport) -> BackendReport:
+def _as_draining(report: BackendReport) -> BackendReport:
     return type(report)(
         **{name: getattr(report, name) for name in report.__struct_fields__ if name != 'state'},
         state=BackendState.draining,
--- a/ringseam/control/documentservice.py
+++ b/ringseam/control/documentservice.py
@@ -34,10 +34,10 @@
 
 #: An acknowledgement waits this long for gateways, seconds; below the two seconds in
 #: which a change must be in force and well below the operator's patience.
-CONFIRM_S = 1.8
+CONFIRM_TIMEOUT_S = 1.8
 #: Bytes of documents that may wait for their commit; while a disk stalls, operators
 #: send the same ones again each second or so, to a host of 300 MB.
-_WAITING_BYTES = 16 * 2**20
+_MAX_PENDING_BYTES = 16 * 2**20
 
 
 class DocumentService:
@@ -48,26 +48,26 @@
         self.follow = follow
         self.history = DocumentHistory()
         #: Bytes of submitted documents that aren't committed yet.
-        self.waiting_bytes = 0
+        self.pending_bytes = 0
 
     def serve(self, server: CallServer) -> None:
         """Take the calls of gateways and of other control hosts."""
         server.add(DOCUMENT_PART, self.document_part)
         server.add(SUBMIT, self.submit_document)
-        server.add(READ_DOCUMENT, self.read)
+        server.add(READ_DOCUMENT, self.read_document)
 
     async def document_part(self, received: Received) -> PartReply:
         """Return a part of an accepted document; any host that holds it may."""
         request: PartRequest = received.body
-        held = request.held
-        change = self.history.change(held, request.number)
+        base = request.held
+        change = self.history.change(base, request.number)
         if change is None:
-            held = 0
-            change = self.history.change(held, request.number)
+            base = 0
+            change = self.history.change(base, request.number)
         if change is None:
             return PartReply(reply=PartLacking())
         part = change[request.offset : request.offset + PART_BYTES]
-        return PartReply(reply=DocumentPart(held=held, total=len(change), part=part))
+        return PartReply(reply=DocumentPart(held=base, total=len(change), part=part))
 
     async def submit_document(self, received: Received) -> DocumentReply:
         """Accept a checked document, and answer once it is in force."""
@@ -77,54 +77,56 @@
         """Commit a document; answer once the gateways that are heard have it."""
         if not self.follow.leadership.can_serve:
             return self.follow.redirect
-        if not self.follow.bears_losses:
+        if not self.follow.tolerates_losses:
             return NotYet()
         size = len(submit.document)
-        if self.waiting_bytes and self.waiting_bytes + size > _WAITING_BYTES:
+        if self.pending_bytes and self.pending_bytes + size > _MAX_PENDING_BYTES:
             return NotYet()
-        begun = self.follow.node.clock.now()
-        self.waiting_bytes += size
+        started = self.follow.node.clock.now()
+        self.pending_bytes += size
         try:
-            number = await self._newest_with(submit)
+            number = await self._commit(submit)
         finally:
-            self.waiting_bytes -= size
+            self.pending_bytes -= size
         if number is None:
             return self.follow.redirect
-        await self.follow.wait(lambda: self.follow.directory.is_confirmed(number=number), CONFIRM_S)
+        await self.follow.wait(
+            lambda: self.follow.directory.is_confirmed(number=number), CONFIRM_TIMEOUT_S
+        )
         self.follow.node.events.emit(
             logger,
             Event.document_accepted,
             number=submit.number,
             newest=number,
             document_bytes=size,
-            took_ms=round((self.follow.node.clock.now() - begun) * MS_PER_S),
+            took_ms=round((self.follow.node.clock.now() - started) * MS_PER_S),
             confirmed=self.follow.directory.is_confirmed(number=number),
         )
         return DocumentHeld(number=number)
 
-    async def read(self, received: Received) -> DocumentReply:
+    async def read_document(self, received: Received) -> DocumentReply:
         """Return the newest document, after a quorum has confirmed the leader."""
-        return DocumentReply(reply=await self.newest())
+        return DocumentReply(reply=await self.read_newest())
 
-    async def newest(self) -> DocumentHeld | Redirect:
+    async def read_newest(self) -> DocumentHeld | Redirect:
         """Return the newest document, after a quorum has confirmed the leader."""
         if not self.follow.leadership.can_serve or isinstance(
-            await self.follow.confirm(), NotLeading
+            await self.follow.confirm_leadership(), NotLeading
         ):
             return self.follow.redirect
         # What the actor applied before the barrier is on its way to this loop.
         await asyncio.sleep(0)
-        return DocumentHeld(number=self.follow.held.number, document=self.follow.held.document)
+        return DocumentHeld(number=self.follow.state.number, document=self.follow.state.document)
 
-    async def _newest_with(self, submit: Submit) -> int | None:
+    async def _commit(self, submit: Submit) -> int | None:
         """Return the newest number, at least the submitted one; None: not leading.
 
         A document that isn't newer than the one in force changes nothing, so it needs
         a quorum's word that this host leads and no entry in the log.
         """
-        if submit.number <= self.follow.held.number:
-            confirmed = await self.follow.confirm()
-            return None if isinstance(confirmed, NotLeading) else self.follow.held.number
+        if submit.number <= self.follow.state.number:
+            confirmed = await self.follow.confirm_leadership()
+            return None if isinstance(confirmed, NotLeading) else self.follow.state.number
         outcome = await self.follow.submit(
             PutDocument(number=submit.number, document=submit.document)
         )
--- a/ringseam/control/follow.py
+++ b/ringseam/control/follow.py
@@ -12,14 +12,14 @@
 from ringseam.backends import BackendState
 from ringseam.commands import RetireBackend
 from ringseam.control.backenddirectory import BackendDirectory
-from ringseam.control.documentservice import CONFIRM_S, DocumentService
+from ringseam.control.documentservice import CONFIRM_TIMEOUT_S, DocumentService
 from ringseam.control.quarantining import QuarantineService
 from ringseam.control.replicamessages import (
     Leadership,
     NotLeading,
 )
 from ringseam.control.state import MAX_RETIRED_BACKENDS
-from ringseam.control.zonedraining import ZoneDraining
+from ringseam.control.zonedraining import ZoneDrainService
 from ringseam.events import Event
 from ringseam.following import (
     CONFIRM,
@@ -49,17 +49,17 @@
 logger = logging.getLogger(__name__)
 
 #: A watch without news is answered after this long, seconds.
-WATCH_S = 1.0
+WATCH_TIMEOUT_S = 1.0
 #: A backend server is silent after this many times the interval of its reports: two may be
 #: lost in a row and the third be late.
-_SILENT_REPORTS = 3.75
+_SILENT_REPORT_INTERVALS = 3.75
 #: A gateway whose watch is overdue by half a watch isn't waited for, seconds.
-_SILENT_GATEWAY_S = 1.6
-_EXPIRE_S = 0.25
+_GATEWAY_TIMEOUT_S = 1.6
+_EXPIRY_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True, kw_only=True)
-class HeldDocument:
+class FollowedState:
     """The accepted document and the backend servers that have left."""
 
     number: int = 0
@@ -79,9 +79,9 @@
         *,
         node: Node,
         submit: Callable[[Any], Awaitable[Any]],
-        confirm: Callable[[], Awaitable[Any]],
-        voters_needed: int,
-        report_s: float,
+        confirm_leadership: Callable[[], Awaitable[Any]],
+        target_voters: int,
+        report_interval_s: float,
     ) -> None:
         """Commit by ``submit``; ``confirm`` checks leadership by a quorum.
 
@@ -89,10 +89,10 @@
         """
         self.node = node
         self.submit = submit
-        self.confirm = confirm
-        self.voters_needed = voters_needed
-        self.silent_s = _SILENT_REPORTS * report_s
-        self.held = HeldDocument()
+        self.confirm_leadership = confirm_leadership
+        self.target_voters = target_voters
+        self.silence_timeout_s = _SILENT_REPORT_INTERVALS * report_interval_s
+        self.state = FollowedState()
         self.retired = EndedLifetimes(capacity=MAX_RETIRED_BACKENDS)
         self.leadership = Leadership()
         self.directory = self._new_directory()
@@ -100,39 +100,39 @@
         self.quarantining = QuarantineService(
             node=node,
             submit=submit,
-            wake=self._wake,
+            notify_watchers=self._notify_watchers,
             redirect=lambda: None if self.leadership.can_serve else self.redirect,
             is_planned=self._is_leaving,
         )
         self.documents = DocumentService(follow=self)
-        self.zones = ZoneDraining(follow=self)
+        self.zones = ZoneDrainService(follow=self)
         #: Where backend servers should report; the open interface knows it.
         self.report_to = ''
 
     # -- what the replica tells ---------------------------------------------
 
-    def hold(self, held: HeldDocument) -> None:
+    def update_state(self, state: FollowedState) -> None:
         """Take what the state machine holds now."""
-        if held.number < self.held.number:
+        if state.number < self.state.number:
             return
-        if held.number > self.held.number:
-            self.documents.history.add(held.number, held.document)
-        if held.retired != self.held.retired:
+        if state.number > self.state.number:
+            self.documents.history.add(state.number, state.document)
+        if state.retired != self.state.retired:
             self.retired = EndedLifetimes(capacity=MAX_RETIRED_BACKENDS)
-            for backend in held.retired:
+            for backend in state.retired:
                 self.retired.add(backend)
-        self.held = held
+        self.state = state
         self.directory.retire(self.retired)
-        self._wake()
+        self._notify_watchers()
 
-    def lead(self, leadership: Leadership) -> None:
+    def update_leadership(self, leadership: Leadership) -> None:
         """Hear who leads."""
-        begins = leadership.can_serve and not self.leadership.can_serve
+        starts_leading = leadership.can_serve and not self.leadership.can_serve
         self.leadership = leadership
-        if begins:
+        if starts_leading:
             self.directory = self._new_directory()
-            self.quarantining.begin(self.held.quarantined)
-        self._wake()
+            self.quarantining.start_leadership(self.state.quarantined)
+        self._notify_watchers()
 
     @property
     def redirect(self) -> Redirect:
@@ -141,16 +141,16 @@
         return Redirect(leader='' if leader == self.node.address else leader)
 
     @property
-    def bears_losses(self) -> bool:
+    def tolerates_losses(self) -> bool:
         """Return whether the group is, or once was, as large as it shall become."""
-        return self.held.number > 0 or self.leadership.voters >= self.voters_needed
+        return self.state.number > 0 or self.leadership.voters >= self.target_voters
 
     # -- calls --------------------------------------------------------------
 
     def serve(self, server: CallServer) -> None:
         """Take the calls of gateways and of other control hosts."""
         server.add(WATCH, self.watch)
-        server.add(CONFIRM, self.take_confirmation)
+        server.add(CONFIRM, self.record_confirmation)
         server.add(REPORT_BACKEND, self.report)
         self.quarantining.serve(server)
         self.documents.serve(server)
@@ -161,36 +161,36 @@
         request: WatchRequest = received.body
         if not self.leadership.can_serve:
             return WatchReply(reply=self.redirect)
-        if not request.number and isinstance(await self.confirm(), NotLeading):
+        if not request.number and isinstance(await self.confirm_leadership(), NotLeading):
             return WatchReply(reply=self.redirect)
-        self.directory.follow(request, self.node.clock.now())
-        self._wake()
-        await self.wait(lambda: self._has_news(request), WATCH_S)
+        self.directory.record_watch(request, self.node.clock.now())
+        self._notify_watchers()
+        await self.wait(lambda: self._has_changes(request), WATCH_TIMEOUT_S)
         if not self.leadership.can_serve:
             return WatchReply(reply=self.redirect)
-        news = self.directory.news(request, self.node.clock.now())
+        delta = self.directory.delta(request, self.node.clock.now())
         return WatchReply(
             reply=msgspec.structs.replace(
-                news,
-                number=self.held.number,
+                delta,
+                number=self.state.number,
                 control=self.leadership.members,
-                quarantine=self._quarantine_news(request),
-                zones=self.held.zones,
+                quarantine=self._quarantine_changes(request),
+                zones=self.state.zones,
             ),
         )
 
-    async def take_confirmation(self, received: Received) -> Empty:
+    async def record_confirmation(self, received: Received) -> Empty:
         """Hear that a document is in force at a gateway."""
         confirmation: Confirmation = received.body
-        self.directory.confirm(confirmation.gateway.name, confirmation.number)
-        self._wake()
+        self.directory.record_confirmation(confirmation.gateway.name, confirmation.number)
+        self._notify_watchers()
         return Empty()
 
     async def report(self, received: Received) -> ReportAnswer:
         """Take a backend server's report; a leave only once it is known."""
-        return ReportAnswer(reply=await self.take_report(received.body))
+        return ReportAnswer(reply=await self.accept_report(received.body))
 
-    async def take_report(
+    async def accept_report(
         self,
         report: BackendReport,
     ) -> ReportTaken | ReportForeign | Redirect:
@@ -198,10 +198,10 @@
         if not self.leadership.can_serve:
             return self.redirect
         if not start_ms_of(report.instance):
-            named = self.directory.with_lifetime(report, self.node.clock.wall_ms())
-            if named is None:
+            identified = self.directory.with_lifetime(report, self.node.clock.wall_ms())
+            if identified is None:
                 return ReportForeign()
-            report = named
+            report = identified
         leaving = report.state is not BackendState.ready
         if leaving and report.instance not in self.retired:
             outcome = await self.submit(RetireBackend(instance=report.instance))
@@ -209,10 +209,10 @@
                 return self.redirect
         if report.instance in self.retired and not leaving:
             report = msgspec.structs.replace(report, state=BackendState.draining)
-        self._note(report)
+        self._record_report(report)
         if leaving:
             change = self.directory.change
-            await self.wait(lambda: self.directory.is_confirmed(change=change), CONFIRM_S)
+            await self.wait(lambda: self.directory.is_confirmed(change=change), CONFIRM_TIMEOUT_S)
             self.node.events.emit(
                 logger,
                 Event.backend_retired,
@@ -222,61 +222,61 @@
             )
         return ReportTaken(report_to=self.report_to)
 
-    async def expire_always(self) -> None:
+    async def run_expiry(self) -> None:
         """Drop what has fallen silent."""
         while True:  # noqa: WPS457 - ends with the role
-            await asyncio.sleep(_EXPIRE_S)
+            await asyncio.sleep(_EXPIRY_INTERVAL_S)
             before = self.directory.change
             for backend in self.directory.expire(self.node.clock.now()):
                 self.node.events.emit(logger, Event.backend_silent, backend=backend)
             if self.directory.change != before:
-                self._wake()
+                self._notify_watchers()
 
-    async def wait(self, condition: Callable[[], bool], limit_s: float) -> None:
+    async def wait(self, condition: Callable[[], bool], timeout_s: float) -> None:
         """Return once a condition holds, or after ``limit_s`` seconds."""
-        until = self.node.clock.now() + limit_s
+        deadline = self.node.clock.now() + timeout_s
         while not condition():
-            left = until - self.node.clock.now()
-            if left <= 0:
+            remaining_s = deadline - self.node.clock.now()
+            if remaining_s <= 0:
                 return
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self.changed.wait()
             except asyncio.TimeoutError:
                 return
 
     # -- helpers ------------------------------------------------------------
 
-    def _has_news(self, request: WatchRequest) -> bool:
+    def _has_changes(self, request: WatchRequest) -> bool:
         """Return whether a gateway lacks something."""
-        if request.quarantine != self.quarantining.book.version:
+        if request.quarantine != self.quarantining.quarantine.version:
             return True
-        if request.zones < self.held.zones.change:
+        if request.zones < self.state.zones.change:
             return True
-        return self.directory.has_news(request, self.held.number)
+        return self.directory.has_changes(request, self.state.number)
 
-    def _quarantine_news(self, request: WatchRequest) -> QuarantineSnapshot | None:
+    def _quarantine_changes(self, request: WatchRequest) -> QuarantineSnapshot | None:
         same_epoch = request.epoch == self.directory.epoch
-        if same_epoch and request.quarantine == self.quarantining.book.version:
+        if same_epoch and request.quarantine == self.quarantining.quarantine.version:
             return None
-        return self.quarantining.news()
+        return self.quarantining.snapshot()
 
     def _is_leaving(self, instance: BackendId) -> bool:
         """Return whether a lifetime has said that it leaves: its end was planned."""
-        row = self.directory.rows.get(instance)
-        leaving = row is not None and row.report.state is not BackendState.ready
+        entry = self.directory.entries.get(instance)
+        leaving = entry is not None and entry.report.state is not BackendState.ready
         return leaving or instance in self.retired
 
-    def _note(self, report: BackendReport) -> None:
-        self._tell_quarantine(report)
-        known = self.directory.lifetimes.get(name_of(report.instance), report.instance)
+    def _record_report(self, report: BackendReport) -> None:
+        self._update_quarantine(report)
+        previous = self.directory.lifetimes.get(name_of(report.instance), report.instance)
         if self.directory.report(report, self.node.clock.now()):
-            if known != report.instance:
+            if previous != report.instance:
                 self.node.events.emit(
                     logger,
                     Event.backend_restarted,
                     backend=report.instance,
-                    earlier=known,
+                    earlier=previous,
                 )
             self.node.events.emit(
                 logger,
@@ -286,33 +286,34 @@
                 state=report.state.value,
                 sequence=report.sequence,
             )
-            self._wake()
+            self._notify_watchers()
 
-    def _tell_quarantine(self, report: BackendReport) -> None:
+    def _update_quarantine(self, report: BackendReport) -> None:
         """Let the quarantine hear a server, where it holds something against its like."""
-        if not self.quarantining.book.is_affected_by(report):
+        if not self.quarantining.quarantine.is_affected_by(report):
             return
         software: set[str] = set()
         # A directory that has just begun doesn't know who else runs which version.
-        if self.directory.is_warm(self.node.clock.now()):
+        if self.directory.has_warmed_up(self.node.clock.now()):
             software.update(
-                row.report.software
-                for row in self.directory.rows.values()
-                if row.report.service == report.service and row.report.state is BackendState.ready
+                entry.report.software
+                for entry in self.directory.entries.values()
+                if entry.report.service == report.service
+                and entry.report.state is BackendState.ready
             )
-        known = self.directory.lifetimes.get(name_of(report.instance), report.instance)
+        previous = self.directory.lifetimes.get(name_of(report.instance), report.instance)
         # What a replaced lifetime sent before its end is no sign that it lives.
-        lives = start_ms_of(report.instance) >= start_ms_of(known)
-        self.quarantining.take_report(report, software, lives=lives)
+        is_alive = start_ms_of(report.instance) >= start_ms_of(previous)
+        self.quarantining.record_report(report, software, is_alive=is_alive)
 
     def _new_directory(self) -> BackendDirectory:
         return BackendDirectory(
             epoch=f'{self.node.incarnation}-{self.leadership.term}',
             started=self.node.clock.now(),
-            silent_s=self.silent_s,
-            follower_s=_SILENT_GATEWAY_S,
+            silence_timeout_s=self.silence_timeout_s,
+            gateway_timeout_s=_GATEWAY_TIMEOUT_S,
         )
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
--- a/ringseam/control/openinterface.py
+++ b/ringseam/control/openinterface.py
@@ -49,23 +49,23 @@
 logger = logging.getLogger(__name__)
 
 #: A report must be answered within a second; a leave waits for gateways.
-_REPORT_S = 0.9
-_LEAVE_S = 2.6
+_REPORT_TIMEOUT_S = 0.9
+_LEAVE_TIMEOUT_S = 2.6
 #: A document waits for gateways; the operator gives up after four seconds.
-_SUBMIT_S = 3.0
-_READ_S = 0.9
+_SUBMIT_TIMEOUT_S = 3.0
+_READ_TIMEOUT_S = 0.9
 #: An order for a zone waits for gateways as a document does.
-_ORDER_S = 3.0
+_ORDER_TIMEOUT_S = 3.0
 #: An order whose sender has given up by now is dropped, seconds: the end of its
 #: connection arrives with its bytes where both were held up.
-_GIVEN_UP_S = 0.01
+_DISCONNECT_GRACE_S = 0.01
 #: A report has some hundred bytes; one of a server with many models a few thousand.
-_REPORT_BYTES = 64 * 2**10
+_MAX_REPORT_BYTES = 64 * 2**10
 #: Refused reports that are logged at once, and then in each second: enough to see who
 #: sends them, where a server that reports each second would fill the log.
-_REFUSALS_LOGGED = 20
-_REFUSALS_PER_S = 1.0
-_LOGGED_CHARACTERS = 200
+_REFUSAL_LOG_BURST = 20
+_REFUSAL_LOGS_PER_S = 1.0
+_MAX_LOGGED_CHARACTERS = 200
 _JSON = ('Content-Type', 'application/json')
 _OK = 200
 _BAD_REQUEST = 400
@@ -84,8 +84,8 @@
         *,
         node: Node,
         follow: FollowService,
-        leader: ControlClient,
-        addresses: Callable[[], list[str]],
+        leader_client: ControlClient,
+        peer_addresses: Callable[[], list[str]],
         metrics: Metrics,
         document_bytes: int,
         zones: frozenset[str],
@@ -97,24 +97,24 @@
         """
         self.node = node
         self.follow = follow
-        self.leader = leader
-        self.addresses = addresses
+        self.leader_client = leader_client
+        self.peer_addresses = peer_addresses
         self.metrics = metrics
         self.document_bytes = document_bytes
         self.zones = zones
-        self.refusals = LineBudget(lines=_REFUSALS_LOGGED, per_s=_REFUSALS_PER_S)
+        self.refusal_log_budget = LineBudget(lines=_REFUSAL_LOG_BURST, per_s=_REFUSAL_LOGS_PER_S)
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one call, and measure it."""
-        begun = self.node.clock.now()
+        started = self.node.clock.now()
         try:
             await self._handle(exchange)
         finally:
-            self._measure(exchange, self.node.clock.now() - begun)
+            self._record_metrics(exchange, self.node.clock.now() - started)
 
-    def _measure(self, exchange: Exchange, took_s: float) -> None:
+    def _record_metrics(self, exchange: Exchange, took_s: float) -> None:
         request = exchange.request
-        call = f'{request.method} {_subject(request.path)}'
+        call = f'{request.method} {_call_target(request.path)}'
         self.metrics.record_ms('call', took_s * MS_PER_S, call=call)
         self.metrics.add('calls', call=call, status=str(exchange.status))
 
@@ -138,12 +138,14 @@
             await exchange.respond(_NOT_ALLOWED, [])
             return
         try:
-            report = decode(name, _bounded(exchange.request.body))
+            report = decode(name, _check_report_size(exchange.request.body))
         except ValueError as error:
             await self._refuse_report(exchange, name, str(error))
             return
-        limit_s = _REPORT_S if report.state is BackendState.ready else _LEAVE_S
-        reply = await self._lead(REPORT_BACKEND, report, self.follow.take_report, limit_s)
+        timeout_s = _REPORT_TIMEOUT_S if report.state is BackendState.ready else _LEAVE_TIMEOUT_S
+        reply = await self._call_leader(
+            REPORT_BACKEND, report, self.follow.accept_report, timeout_s
+        )
         if isinstance(reply, ReportTaken):
             await exchange.respond(_OK, [_JSON], encode_accepted(reply.report_to))
         elif isinstance(reply, ReportForeign):
@@ -153,14 +155,14 @@
 
     async def _refuse_report(self, exchange: Exchange, name: str, finding: str) -> None:
         self.metrics.add('reports_refused')
-        if self.refusals.allows(self.node.clock.now()):
+        if self.refusal_log_budget.allows(self.node.clock.now()):
             self.node.events.emit(
                 logger,
                 Event.report_refused,
-                backend=name[:_LOGGED_CHARACTERS],
-                detail=finding[:_LOGGED_CHARACTERS],
+                backend=name[:_MAX_LOGGED_CHARACTERS],
+                detail=finding[:_MAX_LOGGED_CHARACTERS],
             )
-        await self._refuse(exchange, [finding])
+        await self._respond_findings(exchange, [finding])
 
     # -- operators ----------------------------------------------------------
 
@@ -179,23 +181,25 @@
             await self._refuse_document(exchange, [text], status=_TOO_LARGE)
             return
         try:
-            table = decode_manifest(document)
+            manifest = decode_manifest(document)
         except FindingsError as error:
             await self._refuse_document(exchange, [str(finding) for finding in error.findings])
             return
-        submit = Submit(number=table.number, document=document)
-        reply = await self._lead(SUBMIT, submit, self.follow.documents.accept, _SUBMIT_S)
+        submit = Submit(number=manifest.number, document=document)
+        reply = await self._call_leader(
+            SUBMIT, submit, self.follow.documents.accept, _SUBMIT_TIMEOUT_S
+        )
         if isinstance(reply, DocumentHeld):
             await exchange.respond(_OK, [_JSON], json_body({}))
         else:
             await exchange.respond(_UNAVAILABLE, [])
 
     async def _read_document(self, exchange: Exchange) -> None:
-        reply = await self._lead(
+        reply = await self._call_leader(
             READ_DOCUMENT,
             Empty(),
-            lambda _: self.follow.documents.newest(),
-            _READ_S,
+            lambda _: self.follow.documents.read_newest(),
+            _READ_TIMEOUT_S,
         )
         if isinstance(reply, DocumentHeld) and reply.number:
             await exchange.respond(_OK, [_JSON], reply.document)
@@ -210,19 +214,21 @@
         status: int = _BAD_REQUEST,
     ) -> None:
         self.node.events.emit(logger, Event.document_refused, findings=findings)
-        await self._refuse(exchange, findings, status=status)
+        await self._respond_findings(exchange, findings, status=status)
 
     async def _handle_zone(self, exchange: Exchange) -> None:
-        order = await self._read_order(exchange)
+        order = await self._parse_order(exchange)
         if order is None:
             return
         # This task is cancelled when the connection ends.
-        await asyncio.sleep(_GIVEN_UP_S)
-        reply = await self._lead(ORDER_ZONE, order, self.follow.zones.order, _ORDER_S)
+        await asyncio.sleep(_DISCONNECT_GRACE_S)
+        reply = await self._call_leader(
+            ORDER_ZONE, order, self.follow.zones.order, _ORDER_TIMEOUT_S
+        )
         status = _OK if isinstance(reply, DrainedZones) else _UNAVAILABLE
         await exchange.respond(status, [_JSON], json_body({}))
 
-    async def _read_order(self, exchange: Exchange) -> ZoneOrder | None:
+    async def _parse_order(self, exchange: Exchange) -> ZoneOrder | None:
         """Return the order of a call; None: it was answered with what is wrong."""
         request = exchange.request
         if not is_zone_method(request.method):
@@ -244,13 +250,13 @@
         self.node.events.emit(
             logger,
             Event.zone_order_refused,
-            path=request.path[:_LOGGED_CHARACTERS],
+            path=request.path[:_MAX_LOGGED_CHARACTERS],
             method=request.method,
-            detail=finding[:_LOGGED_CHARACTERS],
+            detail=finding[:_MAX_LOGGED_CHARACTERS],
         )
-        await self._refuse(exchange, [finding], status=status)
+        await self._respond_findings(exchange, [finding], status=status)
 
-    async def _refuse(
+    async def _respond_findings(
         self,
         exchange: Exchange,
         findings: list[str],
@@ -261,37 +267,37 @@
 
     # -- helpers ------------------------------------------------------------
 
-    async def _lead(
+    async def _call_leader(
         self,
         method: Method,
         message: Any,
-        here: Callable[[Any], Any],
-        limit_s: float,
+        local: Callable[[Any], Any],
+        timeout_s: float,
     ) -> Any:
         """Answer here when this replica leads, else ask the leader."""
-        reply = await here(message)
+        reply = await local(message)
         if not isinstance(reply, Redirect):
             return reply
-        self.leader.addresses = self.addresses()
-        self.leader.leader = reply.leader
+        self.leader_client.addresses = self.peer_addresses()
+        self.leader_client.leader = reply.leader
         try:
-            return await self.leader.ask_leader(method, message, timeout_s=limit_s)
+            return await self.leader_client.ask_leader(method, message, timeout_s=timeout_s)
         except UnreachableError as error:
             logger.debug('no leader for %s: %s', method.path, error)
             return None
 
 
-def _subject(path: str) -> str:
+def _call_target(path: str) -> str:
     if instance_of(path):
         return 'backend'
     return 'zone' if is_zone_path(path) else 'document'
 
 
-def _bounded(body: bytes) -> bytes:
+def _check_report_size(body: bytes) -> bytes:
     """Return a report's body.
 
     :raises ValueError: when no report is as large.
     """
-    if len(body) > _REPORT_BYTES:
-        raise ValueError(f'{len(body)} bytes; a report has {_REPORT_BYTES} at most')
+    if len(body) > _MAX_REPORT_BYTES:
+        raise ValueError(f'{len(body)} bytes; a report has {_MAX_REPORT_BYTES} at most')
     return body
--- a/ringseam/control/quarantining.py
+++ b/ringseam/control/quarantining.py
@@ -41,7 +41,7 @@
 
 #: How often evidence is judged, seconds: well below the 3 s in which gateways must hold
 #: to a verdict. Until then what is suspected runs on trial only.
-JUDGE_S = 0.05
+EVALUATION_INTERVAL_S = 0.05
 
 
 class QuarantineService:
@@ -52,7 +52,7 @@
         *,
         node: Node,
         submit: Callable[[Any], Awaitable[Any]],
-        wake: Callable[[], None],
+        notify_watchers: Callable[[], None],
         redirect: Callable[[], Redirect | None],
         is_planned: Callable[[BackendId], bool],
     ) -> None:
@@ -64,65 +64,65 @@
         """
         self.node = node
         self.submit = submit
-        self.wake = wake
+        self.notify_watchers = notify_watchers
         self.redirect = redirect
         self.is_planned = is_planned
-        self.book = Quarantine()
+        self.quarantine = Quarantine()
         self.tasks = TaskSet()
 
-    def begin(self, recorded: Mapping[str, RecordedVerdict]) -> None:
+    def start_leadership(self, recorded: Mapping[str, RecordedVerdict]) -> None:
         """Begin a leadership with the verdicts of the log; evidence is sent again."""
         now = self.node.clock.now()
-        self.book = Quarantine()
-        for content, known in recorded.items():
+        self.quarantine = Quarantine()
+        for content, record in recorded.items():
             verdict = Verdict(
-                service=known.service,
-                account=known.account,
-                software=frozenset(known.software),
+                service=record.service,
+                account=record.account,
+                software=frozenset(record.software),
                 quarantined_at=now,
-                lifts=known.lifts,
+                lifts=record.lifts,
             )
-            self.book.restore(ContentId(content), verdict)
+            self.quarantine.restore(ContentId(content), verdict)
 
     # -- calls of gateways --------------------------------------------------
 
     def serve(self, server: CallServer) -> None:
         """Take these calls on a server."""
-        server.add(REPORT_CRASHES, self.take_ends)
-        server.add(REPORT_SERVED, self.take_served)
-        server.add(TRIAL, self.answer_trial)
+        server.add(REPORT_CRASHES, self.handle_crashes)
+        server.add(REPORT_SERVED, self.handle_served)
+        server.add(TRIAL, self.handle_trial)
 
-    async def take_ends(self, received: Received) -> EvidenceReply:
+    async def handle_crashes(self, received: Received) -> EvidenceReply:
         """Hear what was under way on servers that ended."""
-        elsewhere = self.redirect()
-        if elsewhere is not None:
-            return EvidenceReply(reply=elsewhere)
+        redirect = self.redirect()
+        if redirect is not None:
+            return EvidenceReply(reply=redirect)
         report: CrashReport = received.body
-        for end in report.ends:
-            self._take_end(end)
+        for crash in report.ends:
+            self._record_crash(crash)
         return EvidenceReply(reply=Heard())
 
-    async def take_served(self, received: Received) -> EvidenceReply:
+    async def handle_served(self, received: Received) -> EvidenceReply:
         """Hear that a content was answered by a server, so it doesn't end such servers."""
-        elsewhere = self.redirect()
-        if elsewhere is not None:
-            return EvidenceReply(reply=elsewhere)
+        redirect = self.redirect()
+        if redirect is not None:
+            return EvidenceReply(reply=redirect)
         served: ServedReport = received.body
-        with self._telling():
-            self.book.record_answer(served.content, served.software, self.node.clock.now())
+        with self._publish_changes():
+            self.quarantine.record_answer(served.content, served.software, self.node.clock.now())
         return EvidenceReply(reply=Heard())
 
-    async def answer_trial(self, received: Received) -> TrialReply:
+    async def handle_trial(self, received: Received) -> TrialReply:
         """Tell whether a suspected content may run now, or hear that its run is over."""
-        elsewhere = self.redirect()
-        if elsewhere is not None:
-            return TrialReply(reply=elsewhere)
+        redirect = self.redirect()
+        if redirect is not None:
+            return TrialReply(reply=redirect)
         request: TrialRequest = received.body
         if request.over:
-            self.book.finish_trial(request.content)
+            self.quarantine.finish_trial(request.content)
             return TrialReply(reply=TrialAnswer(state=TrialState.granted.value))
         now = self.node.clock.now()
-        state = self.book.request_run(request.content, now, request.lasts_ms / MS_PER_S)
+        state = self.quarantine.request_run(request.content, now, request.lasts_ms / MS_PER_S)
         self.node.events.emit(
             logger,
             Event.trial_asked,
@@ -133,70 +133,70 @@
 
     # -- what else is heard and told ----------------------------------------
 
-    def take_report(self, report: BackendReport, software: set[str], *, lives: bool) -> None:
+    def record_report(self, report: BackendReport, software: set[str], *, is_alive: bool) -> None:
         """Hear a server, whether it may live, and which versions its service runs."""
-        with self._telling():
-            if lives:
-                self.book.record_report(report.instance, self.node.clock.now())
-            self.book.update_software(report.service, software)
+        with self._publish_changes():
+            if is_alive:
+                self.quarantine.record_report(report.instance, self.node.clock.now())
+            self.quarantine.update_software(report.service, software)
 
-    def news(self) -> QuarantineSnapshot:
+    def snapshot(self) -> QuarantineSnapshot:
         """Return all that gateways hold to."""
-        wall = self.node.clock.wall_ms()
+        wall_ms = self.node.clock.wall_ms()
         now = self.node.clock.now()
         return QuarantineSnapshot(
-            version=self.book.version,
+            version=self.quarantine.version,
             quarantined={
-                content: wall - int((now - verdict.quarantined_at) * MS_PER_S)
-                for content, verdict in self.book.verdicts.items()
+                content: wall_ms - int((now - verdict.quarantined_at) * MS_PER_S)
+                for content, verdict in self.quarantine.verdicts.items()
             },
-            suspects=tuple(self.book.suspects),
-            confined=tuple(self.book.confined),
+            suspects=tuple(self.quarantine.suspects),
+            confined=tuple(self.quarantine.confined),
         )
 
-    async def judge_always(self) -> None:
+    async def run_evaluation(self) -> None:
         """Judge the evidence at short intervals."""
         while True:  # noqa: WPS457 - ends with the role
-            await asyncio.sleep(JUDGE_S)
-            self._judge()
+            await asyncio.sleep(EVALUATION_INTERVAL_S)
+            self._evaluate()
 
     # -- helpers ------------------------------------------------------------
 
     @contextlib.contextmanager
-    def _telling(self) -> Iterator[None]:
+    def _publish_changes(self) -> Iterator[None]:
         """Let gateways hear what the block changes, and record what it releases."""
-        version = self.book.version
-        held = set(self.book.verdicts)
+        version = self.quarantine.version
+        previous = set(self.quarantine.verdicts)
         yield
-        for content in held - set(self.book.verdicts):
-            on_trial = content in self.book.lifted
-            self._release(content, 'put to the test' if on_trial else 'servers bear it')
-        if self.book.version != version:
-            self.wake()
-
-    def _take_end(self, end: ServerCrash) -> None:
-        planned = self.is_planned(end.instance)
+        for content in previous - set(self.quarantine.verdicts):
+            is_retest = content in self.quarantine.lifted
+            self._release(content, 'put to the test' if is_retest else 'servers bear it')
+        if self.quarantine.version != version:
+            self.notify_watchers()
+
+    def _record_crash(self, crash: ServerCrash) -> None:
+        planned = self.is_planned(crash.instance)
         self.node.events.emit(
             logger,
             Event.end_reported,
-            backend=end.instance,
-            service=end.service,
+            backend=crash.instance,
+            service=crash.service,
             planned=planned,
-            contents=len(end.suspects),
+            contents=len(crash.suspects),
         )
         # A planned end says nothing of what was under way.
         if not planned:
-            with self._telling():
-                self.book.record_crash(end, self.node.clock.now())
+            with self._publish_changes():
+                self.quarantine.record_crash(crash, self.node.clock.now())
 
-    def _judge(self) -> None:
-        with self._telling():
-            fallen = self.book.evaluate(self.node.clock.now())
-        for content in fallen:
-            self._record(content)
+    def _evaluate(self) -> None:
+        with self._publish_changes():
+            quarantined = self.quarantine.evaluate(self.node.clock.now())
+        for content in quarantined:
+            self._record_verdict(content)
 
-    def _record(self, content: ContentId) -> None:
-        verdict = self.book.verdicts[content]
+    def _record_verdict(self, content: ContentId) -> None:
+        verdict = self.quarantine.verdicts[content]
         software = tuple(sorted(verdict.software))
         self.node.events.emit(
             logger,
--- a/ringseam/control/role.py
+++ b/ringseam/control/role.py
@@ -8,10 +8,10 @@
 from typing import TYPE_CHECKING, Any
 
 from ringseam.clock import MS_PER_S
-from ringseam.control.applying import Applying, redirected
+from ringseam.control.applying import ApplyService, redirect_if_not_leading
 from ringseam.control.directory import Directory
 from ringseam.control.diskwait import DiskWait
-from ringseam.control.follow import FollowService, HeldDocument
+from ringseam.control.follow import FollowedState, FollowService
 from ringseam.control.founding import GroupDiscovery, target_voters
 from ringseam.control.openinterface import OpenInterface
 from ringseam.control.peerlinks import PeerLinks
@@ -77,11 +77,11 @@
 logger = logging.getLogger(__name__)
 
 _COMMIT_TIMEOUT_S = 5.0
-_EXPIRE_S = 0.2
-_HAND_OVER_TRIES = 20
+_EXPIRY_INTERVAL_S = 0.2
+_TRANSFER_ATTEMPTS = 20
 #: A body of up to twice the largest document is read, to say what is wrong with it;
 #: a larger one is cut off with a bare 413.
-_BODY_SHARE = 2
+_BODY_LIMIT_FACTOR = 2
 
 
 class ControlRole(Role):
@@ -102,10 +102,10 @@
         )
         self.metrics = Metrics()
         self.links = PeerLinks(client=self.client, metrics=self.metrics, spawn=self.spawn)
-        self.applying = Applying(
+        self.apply_service = ApplyService(
             node=self.node,
             holder=self.holder,
-            bootstrap=dict(
+            bootstrap_digests=dict(
                 piece.partition('=')[::2] for piece in split_list(own['bootstrap_part_digests'])
             ),
             was_accepted=self._was_accepted,
@@ -114,9 +114,9 @@
         self.follow = FollowService(
             node=self.node,
             submit=self._commit,
-            confirm=lambda: self._ask_quorum(ReadBarrier()),
-            voters_needed=target_voters(settings.own),
-            report_s=settings.seconds('backend_report_ms'),
+            confirm_leadership=lambda: self._ask_replica(ReadBarrier()),
+            target_voters=target_voters(settings.own),
+            report_interval_s=settings.seconds('backend_report_ms'),
         )
         self.shares: ShareLeases | None = None
         self.actor: Any = None
@@ -126,28 +126,28 @@
         loop = asyncio.get_running_loop()
         disk = DiskWait(node=self.node, folder=self.settings.own['data_dir'])
         await disk.wait(lambda: self.draining)
-        self._serve_methods()
+        self._register_methods()
         await self.server.start()
         self.stack.push_async_callback(self.server.close)
 
         def send(address: str, packet: Packet) -> None:  # noqa: WPS430
             loop.call_soon_threadsafe(self.links.send, address, packet)
 
-        def changed(machine: StateMachine) -> None:  # noqa: WPS430
+        def state_changed(machine: StateMachine) -> None:  # noqa: WPS430
             files = tuple(machine.accepted_files())
             revision = machine.state.revision
-            loop.call_soon_threadsafe(self._take, revision, files)
-            document = HeldDocument(
+            loop.call_soon_threadsafe(self._apply_config, revision, files)
+            followed = FollowedState(
                 number=machine.state.number,
                 document=machine.state.document,
                 retired=tuple(machine.state.retired),
                 quarantined=dict(machine.state.quarantined),
                 zones=machine.state.zones,
             )
-            loop.call_soon_threadsafe(self.follow.hold, document)
+            loop.call_soon_threadsafe(self.follow.update_state, followed)
 
-        def led(leadership: Leadership) -> None:  # noqa: WPS430
-            loop.call_soon_threadsafe(self.follow.lead, leadership)
+        def leadership_changed(leadership: Leadership) -> None:  # noqa: WPS430
+            loop.call_soon_threadsafe(self.follow.update_leadership, leadership)
 
         def failed(detail: str) -> None:  # noqa: WPS430
             loop.call_soon_threadsafe(self._fail, detail)
@@ -166,10 +166,10 @@
             ),
             callbacks=ReplicaCallbacks(
                 send=send,
-                state_changed=changed,
+                state_changed=state_changed,
                 failed=failed,
-                leadership_changed=led,
-                log_changed=lambda held: self.metrics.put('log_bytes', held),
+                leadership_changed=leadership_changed,
+                log_changed=lambda total_bytes: self.metrics.put('log_bytes', total_bytes),
             ),
             seed=zlib.crc32(self.node.incarnation.encode()),
         )
@@ -181,10 +181,10 @@
             settings=self.settings,
         )
         self.stack.callback(self.actor.stop)
-        self.spawn(self._tick_always())
+        self.spawn(self._run_ticks())
         self.spawn(self.discovery.run())
         if own['http']:
-            await self._open_follow()
+            await self._open_http_interface()
 
     def reload(self, settings: Settings) -> None:
         """Take over other seeds."""
@@ -195,7 +195,7 @@
         """Hand leadership over before leaving."""
         if self.actor is None:
             return
-        for _ in range(_HAND_OVER_TRIES):
+        for _ in range(_TRANSFER_ATTEMPTS):
             status: ReplicaStatus = await ask(self.actor, GetReplicaStatus())
             if status.leader != self.node.address:
                 return
@@ -205,15 +205,15 @@
 
     # -- methods ------------------------------------------------------------
 
-    def take_packet(self, received: Received) -> None:
+    def deliver_packet(self, received: Received) -> None:
         """Hand a peer's messages to the replica."""
         self.actor.tell(Deliver(packet=received.body, address=received.address))
 
     async def hello(self, received: Received) -> HelloReply:
         """Introduce this folder and remember a blank one."""
-        greeting: HelloRequest = received.body
-        if self._may_join(greeting):
-            self.actor.tell(NonMemberSeen(disk=greeting.disk, address=greeting.address))
+        request: HelloRequest = received.body
+        if self._may_join(request):
+            self.actor.tell(NonMemberSeen(disk=request.disk, address=request.address))
         status: ReplicaStatus = await ask(self.actor, GetReplicaStatus())
         return HelloReply(
             disk=status.disk,
@@ -225,15 +225,15 @@
     async def command(self, received: Received) -> CommandReply:
         """Commit a ledger or token command."""
         outcome = await self._commit(received.body.command)
-        return CommandReply(reply=redirected(outcome))
+        return CommandReply(reply=redirect_if_not_leading(outcome))
 
     async def first_config(self, received: Received) -> FirstConfigReply:
         """Return the configuration at a linearizable read."""
-        outcome = await self._ask_quorum(ReadBarrier())
+        outcome = await self._ask_replica(ReadBarrier())
         if isinstance(outcome, NotLeading):
-            return FirstConfigReply(reply=redirected(outcome))
-        held = self.holder.since(0)
-        return FirstConfigReply(reply=ConfigFiles(revision=held.revision, files=held.files))
+            return FirstConfigReply(reply=redirect_if_not_leading(outcome))
+        config = self.holder.since(0)
+        return FirstConfigReply(reply=ConfigFiles(revision=config.revision, files=config.files))
 
     async def report(self, received: Received) -> ReportReply:
         """Take an agent's state into the directory."""
@@ -249,14 +249,14 @@
             request.epoch,
             request.since,
             self.node.clock.now(),
-            zones=self.follow.held.zones,
+            zones=self.follow.state.zones,
         )
 
     async def lease(self, received: Received) -> LeaseReply:
         """Grant shares of account limits, while this replica leads for sure."""
-        barrier = await self._ask_quorum(ReadBarrier())
+        barrier = await self._ask_replica(ReadBarrier())
         if isinstance(barrier, NotLeading):
-            return LeaseReply(reply=redirected(barrier))
+            return LeaseReply(reply=redirect_if_not_leading(barrier))
         now = self.node.clock.now()
         if self.shares is None or self.shares.term != barrier.term:
             self.shares = ShareLeases(term=barrier.term, leading_since=now)
@@ -279,20 +279,20 @@
                 for member in status.members
             ),
             processes=tuple(process for _, process in self.directory.processes.values()),
-            agents=tuple(row.state for row in self.directory.entries.values()),
+            agents=tuple(entry.state for entry in self.directory.entries.values()),
             commit=status.commit,
             keys=status.keys,
         )
 
     async def apply(self, received: Received) -> ApplyReply:
         """Check a part's file and commit it whole, or change nothing."""
-        barrier = await self._ask_quorum(ReadBarrier())
+        barrier = await self._ask_replica(ReadBarrier())
         if isinstance(barrier, NotLeading):
-            return ApplyReply(reply=redirected(barrier))
-        return ApplyReply(reply=await self.applying.apply(received.body))
+            return ApplyReply(reply=redirect_if_not_leading(barrier))
+        return ApplyReply(reply=await self.apply_service.apply(received.body))
 
-    def _serve_methods(self) -> None:
-        self.server.add_stream(PACKETS, self.take_packet)
+    def _register_methods(self) -> None:
+        self.server.add_stream(PACKETS, self.deliver_packet)
         self.server.add(HELLO, self.hello)
         self.server.add(COMMAND, self.command)
         self.server.add(CONFIG, self.holder.answer)
@@ -309,57 +309,57 @@
     async def _was_accepted(self, part: str, expect: int, apply_id: str) -> bool:
         return await ask(self.actor, FindApply(part=part, expect=expect, apply_id=apply_id))
 
-    def _may_join(self, greeting: HelloRequest) -> bool:
-        if greeting.group and greeting.group != self.node.group:
+    def _may_join(self, request: HelloRequest) -> bool:
+        if request.group and request.group != self.node.group:
             return False
         open_group = bool(self.settings.own['seeds'])
-        return open_group or greeting.address in self.settings.process['control']
+        return open_group or request.address in self.settings.process['control']
 
-    async def _open_follow(self) -> None:
+    async def _open_http_interface(self) -> None:
         """Serve gateways, backend servers and operators over the open interface."""
-        leader = ControlClient(client=self.client, addresses=())
+        leader_client = ControlClient(client=self.client, addresses=())
         document_bytes = self.settings.own['document_bytes']
         interface = OpenInterface(
             node=self.node,
             follow=self.follow,
-            leader=leader,
-            addresses=self.discovery.peer_addresses,
+            leader_client=leader_client,
+            peer_addresses=self.discovery.peer_addresses,
             metrics=self.metrics,
             document_bytes=document_bytes,
             zones=frozenset(self.settings.process['zones']),
         )
-        limits = HttpLimits(body_bytes=_BODY_SHARE * document_bytes)
+        limits = HttpLimits(body_bytes=_BODY_LIMIT_FACTOR * document_bytes)
         web = HttpServer(handler=interface.handle, limits=limits)
         await web.start(*split_address(self.settings.own['http']))
         self.stack.push_async_callback(web.close)
-        self.spawn(self.follow.expire_always())
-        self.spawn(self.follow.quarantining.judge_always())
+        self.spawn(self.follow.run_expiry())
+        self.spawn(self.follow.quarantining.run_evaluation())
         await self.open_metrics(self.metrics)
 
     # -- background ---------------------------------------------------------
 
     async def _commit(self, command: Any) -> Any:
-        return await self._ask_quorum(Propose(command=command))
+        return await self._ask_replica(Propose(command=command))
 
-    async def _ask_quorum(self, body: Any) -> Any:
+    async def _ask_replica(self, body: Any) -> Any:
         try:
             return await asyncio.wait_for(ask(self.actor, body), _COMMIT_TIMEOUT_S)
         except asyncio.TimeoutError:
             return NotLeading()
 
-    async def _tick_always(self) -> None:
+    async def _run_ticks(self) -> None:
         interval = self.settings.seconds('heartbeat_ms') / 2
         expiry = self.node.clock.now()
         while True:  # noqa: WPS457 - ends with the role
             self.actor.tell(Tick())
             now = self.node.clock.now()
             if now >= expiry:
-                expiry = now + _EXPIRE_S
+                expiry = now + _EXPIRY_INTERVAL_S
                 for name in self.directory.expire(now):
                     self.node.events.emit(logger, Event.agent_lost, agent=name)
             await asyncio.sleep(interval)
 
-    def _take(self, revision: int, files: tuple[AcceptedFile, ...]) -> None:
+    def _apply_config(self, revision: int, files: tuple[AcceptedFile, ...]) -> None:
         self.holder.take(ConfigReply(revision=revision, files=files))
 
     def _fail(self, detail: str) -> None:
--- a/ringseam/control/zonedraining.py
+++ b/ringseam/control/zonedraining.py
@@ -8,7 +8,7 @@
 
 from ringseam.clock import MS_PER_S
 from ringseam.commands import DrainZone, ZoneDrained
-from ringseam.control.documentservice import CONFIRM_S
+from ringseam.control.documentservice import CONFIRM_TIMEOUT_S
 from ringseam.control.replicamessages import NotLeading
 from ringseam.events import Event
 from ringseam.following import ORDER_ZONE, READ_ZONES, NotYet, ZonesReply
@@ -24,7 +24,7 @@
 logger = logging.getLogger(__name__)
 
 
-class ZoneDraining:
+class ZoneDrainService:
     """Commit orders, and acknowledge them once the gateways obey them."""
 
     def __init__(self, *, follow: FollowService) -> None:
@@ -33,14 +33,14 @@
 
     def serve(self, server: CallServer) -> None:
         """Take the calls of other control hosts and of the command line."""
-        server.add(ORDER_ZONE, self.serve_order)
-        server.add(READ_ZONES, self.serve_read)
+        server.add(ORDER_ZONE, self.handle_order)
+        server.add(READ_ZONES, self.handle_read)
 
-    async def serve_order(self, received: Received) -> ZonesReply:
+    async def handle_order(self, received: Received) -> ZonesReply:
         """Take an order that came to another host."""
         return ZonesReply(reply=await self.order(received.body))
 
-    async def serve_read(self, received: Received) -> ZonesReply:
+    async def handle_read(self, received: Received) -> ZonesReply:
         """Return the drained zones."""
         return ZonesReply(reply=await self.read())
 
@@ -53,32 +53,34 @@
         follow = self.follow
         if not follow.leadership.can_serve:
             return follow.redirect
-        if not follow.bears_losses:
+        if not follow.tolerates_losses:
             return NotYet()
-        begun = follow.node.clock.now()
-        done = await follow.submit(DrainZone(zone=order.zone, drained=order.drained))
-        if not isinstance(done, ZoneDrained):
+        started = follow.node.clock.now()
+        outcome = await follow.submit(DrainZone(zone=order.zone, drained=order.drained))
+        if not isinstance(outcome, ZoneDrained):
             return follow.redirect
-        await follow.wait(lambda: self._is_obeyed(done.change), CONFIRM_S)
+        await follow.wait(lambda: self._is_confirmed(outcome.change), CONFIRM_TIMEOUT_S)
         follow.node.events.emit(
             logger,
             Event.zone_drained if order.drained else Event.zone_restored,
             zone=order.zone,
-            change=done.change,
-            took_ms=round((follow.node.clock.now() - begun) * MS_PER_S),
-            confirmed=self._is_obeyed(done.change),
+            change=outcome.change,
+            took_ms=round((follow.node.clock.now() - started) * MS_PER_S),
+            confirmed=self._is_confirmed(outcome.change),
         )
-        return follow.held.zones
+        return follow.state.zones
 
     async def read(self) -> DrainedZones | Redirect:
         """Return the drained zones, after a quorum has confirmed the leader."""
         follow = self.follow
-        if not follow.leadership.can_serve or isinstance(await follow.confirm(), NotLeading):
+        if not follow.leadership.can_serve or isinstance(
+            await follow.confirm_leadership(), NotLeading
+        ):
             return follow.redirect
         # What the actor applied before the barrier is on its way to this loop.
         await asyncio.sleep(0)
-        return follow.held.zones
+        return follow.state.zones
 
-    def _is_obeyed(self, change: int) -> bool:
+    def _is_confirmed(self, change: int) -> bool:
         follow = self.follow
-        return follow.held.zones.change >= change and follow.directory.is_confirmed(zones=change)
+        return follow.state.zones.change >= change and follow.directory.is_confirmed(zones=change)
--- a/ringseam/model/experiment.py
+++ b/ringseam/model/experiment.py
@@ -131,7 +131,7 @@
         )
         loop = asyncio.get_running_loop()
         troubles = [loop.create_task(self._happen(event)) for event in self.pattern.events]
-        troubles.append(loop.create_task(self.leader.quarantining.judge_always()))
+        troubles.append(loop.create_task(self.leader.quarantining.run_evaluation()))
         await clients.run()
         for trouble in troubles:
             trouble.cancel()
--- a/ringseam/model/gateways.py
+++ b/ringseam/model/gateways.py
@@ -132,7 +132,7 @@
         self.quarantining = QuarantineService(
             node=node,
             submit=self._record,
-            wake=self._tell,
+            notify_watchers=self._tell,
             redirect=lambda: None,
             is_planned=lambda _: False,
         )
@@ -148,7 +148,7 @@
     def _tell(self) -> None:
         loop = asyncio.get_running_loop()
         for gateway in self.gateways:
-            loop.call_later(self.links.zone_s, gateway.hold, self.quarantining.news())
+            loop.call_later(self.links.zone_s, gateway.hold, self.quarantining.snapshot())
 
 
 class ModelGateway:
--- a/tests/test_control/test_control_quarantining.py
+++ b/tests/test_control/test_control_quarantining.py
@@ -10,7 +10,7 @@
 from ringseam.backends import BackendId, BackendReport, BackendState, GatewayState
 from ringseam.clock import PausedClock
 from ringseam.commands import RecordVerdict
-from ringseam.control.follow import FollowService, HeldDocument
+from ringseam.control.follow import FollowedState, FollowService
 from ringseam.control.replicamessages import Leadership, NotLeading, ReadConfirmed
 from ringseam.control.state import StateMachine, encode_command
 from ringseam.evidence import REFUTE_DELAY_S, REPORT_SPACING_S
@@ -33,16 +33,16 @@
 from ringseam.sealing import Received
 
 GATEWAY = GatewayState(name='g1', address='1.1.1.1:1', zone='a')
-LEADS = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
-FOLLOWS = Leadership(term=4, leader='c2', can_serve=False, voters=5, members=('c1', 'c2'))
-GUILTY = 'guilty'
+LEADING = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
+FOLLOWING = Leadership(term=4, leader='c2', can_serve=False, voters=5, members=('c1', 'c2'))
+CRASHING_CONTENT = 'crashing'
 
 
 def received(body):
     return Received('g1', '1.1.1.1:1', '', 0, body)
 
 
-def ends(*servers, contents=(GUILTY,), software='v1'):
+def crash_report(*servers, contents=(CRASHING_CONTENT,), software='v1'):
     suspects = tuple(Suspect(content=content, account='acme') for content in contents)
     return CrashReport(
         ends=tuple(
@@ -79,12 +79,12 @@
         self.service = FollowService(
             node=Node(name='c1', role='control', address='c1', secret=b'x', clock=self.clock),
             submit=self.submit,
-            confirm=self.confirm,
-            voters_needed=5,
-            report_s=1.2,
+            confirm_leadership=self.confirm_leadership,
+            target_voters=5,
+            report_interval_s=1.2,
         )
-        self.hold()
-        self.service.lead(LEADS)
+        self.update_state()
+        self.service.update_leadership(LEADING)
 
     @property
     def quarantining(self):
@@ -94,16 +94,16 @@
         if not self.commits:
             return NotLeading()
         outcome = self.state_machine.apply(encode_command(command))
-        self.hold()
+        self.update_state()
         return outcome
 
-    async def confirm(self):
+    async def confirm_leadership(self):
         return ReadConfirmed(term=3)
 
-    def hold(self):
+    def update_state(self):
         state = self.state_machine.state
-        self.service.hold(
-            HeldDocument(
+        self.service.update_state(
+            FollowedState(
                 number=1,
                 document=b'd',
                 retired=tuple(state.retired),
@@ -111,18 +111,18 @@
             ),
         )
 
-    async def tell(self, *servers, **fields):
+    async def report_crashes(self, *servers, **fields):
         """Report ends one after the other, and judge each."""
         for server in servers:
-            await self.quarantining.take_ends(received(ends(server, **fields)))
+            await self.quarantining.handle_crashes(received(crash_report(server, **fields)))
             self.clock.advance(2 * REPORT_SETTLE_S)
-            self.quarantining._judge()
+            self.quarantining._evaluate()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
 
-    async def trial(self, content=GUILTY):
+    async def request_trial(self, content=CRASHING_CONTENT):
         request = TrialRequest(content=content, lasts_ms=5000)
-        return (await self.quarantining.answer_trial(received(request))).reply
+        return (await self.quarantining.handle_trial(received(request))).reply
 
     async def watch(self, **fields):
         request = WatchRequest(gateway=GATEWAY, number=1, heard=1, **fields)
@@ -135,17 +135,17 @@
         first = await host.watch()
         held = {'epoch': first.epoch, 'since': first.upto, 'quarantine': first.quarantine.version}
         waiting = asyncio.create_task(host.watch(**held))
-        await host.tell('a')
+        await host.report_crashes('a')
         assert not waiting.done()
-        await host.tell('b')
+        await host.report_crashes('b')
         news = await asyncio.wait_for(waiting, 0.5)
-        assert news.quarantine.suspects == (GUILTY,)
+        assert news.quarantine.suspects == (CRASHING_CONTENT,)
         held |= {'since': news.upto, 'quarantine': news.quarantine.version}
         waiting = asyncio.create_task(host.watch(**held))
         await asyncio.sleep(0)
-        await host.tell('c')
+        await host.report_crashes('c')
         news = await asyncio.wait_for(waiting, 0.5)
-        assert list(news.quarantine.quarantined) == [GUILTY]
+        assert list(news.quarantine.quarantined) == [CRASHING_CONTENT]
 
     asyncio.run(run())
 
@@ -153,7 +153,7 @@
 def test_gateway_that_knows_all_is_told_nothing_twice():
     async def run():
         host = Host()
-        await host.tell('a', 'b', 'c')
+        await host.report_crashes('a', 'b', 'c')
         first = await host.watch()
         host.service.directory.report(report('new'), host.clock.now())
         again = await host.watch(
@@ -173,11 +173,11 @@
         host = Host()
         for name in 'abc':
             leaving = report(name, state=BackendState.draining)
-            waiting = asyncio.create_task(host.service.take_report(leaving))
+            waiting = asyncio.create_task(host.service.accept_report(leaving))
             await asyncio.sleep(0)
             waiting.cancel()
-        await host.tell('a', 'b', 'c')
-        assert not host.quarantining.book.evidence.crashes
+        await host.report_crashes('a', 'b', 'c')
+        assert not host.quarantining.quarantine.evidence.crashes
 
     asyncio.run(run())
 
@@ -185,13 +185,13 @@
 def test_server_that_goes_on_reporting_is_no_end():
     async def run():
         host = Host()
-        await host.tell('a', 'b', 'c')
+        await host.report_crashes('a', 'b', 'c')
         host.clock.advance(REFUTE_DELAY_S)
         for sequence in (2, 3):
-            host.service._note(report('c', sequence))
+            host.service._record_report(report('c', sequence))
             host.clock.advance(REPORT_SPACING_S)
         await asyncio.sleep(0.01)
-        assert (await host.trial()).state == TrialState.granted.value
+        assert (await host.request_trial()).state == TrialState.granted.value
         assert not host.state_machine.state.quarantined
 
     asyncio.run(run())
@@ -202,13 +202,13 @@
 
     async def run():
         host = Host()
-        await host.tell('a#1', 'b#1', 'c#1')
-        host.service._note(report('c#2', 1))
+        await host.report_crashes('a#1', 'b#1', 'c#1')
+        host.service._record_report(report('c#2', 1))
         host.clock.advance(REFUTE_DELAY_S)
         for sequence in (2, 3):
-            host.service._note(report('c#1', sequence))
+            host.service._record_report(report('c#1', sequence))
             host.clock.advance(REPORT_SPACING_S)
-        assert (await host.trial()).state == TrialState.quarantined.value
+        assert (await host.request_trial()).state == TrialState.quarantined.value
 
     asyncio.run(run())
 
@@ -216,11 +216,11 @@
 def test_leader_that_has_not_heard_all_servers_lifts_no_verdict():
     async def run():
         host = Host()
-        await host.tell('a', 'b', 'c')
+        await host.report_crashes('a', 'b', 'c')
         host.service.directory = host.service._new_directory()
         for sequence in (1, 2):
-            host.service._note(report('new', sequence, software='v2'))
-        assert (await host.trial()).state == TrialState.quarantined.value
+            host.service._record_report(report('new', sequence, software='v2'))
+        assert (await host.request_trial()).state == TrialState.quarantined.value
 
     asyncio.run(run())
 
@@ -228,12 +228,12 @@
 def test_host_that_does_not_lead_sends_elsewhere():
     async def run():
         host = Host()
-        host.service.lead(FOLLOWS)
-        served = ServedReport(content=GUILTY, software='v1')
+        host.service.update_leadership(FOLLOWING)
+        served = ServedReport(content=CRASHING_CONTENT, software='v1')
         replies = [
-            (await host.quarantining.take_ends(received(ends('a')))).reply,
-            (await host.quarantining.take_served(received(served))).reply,
-            await host.trial(),
+            (await host.quarantining.handle_crashes(received(crash_report('a')))).reply,
+            (await host.quarantining.handle_served(received(served))).reply,
+            await host.request_trial(),
         ]
         assert all(isinstance(reply, Redirect) for reply in replies)
 
@@ -243,11 +243,11 @@
 def test_verdict_outlives_the_leader_and_all_power():
     async def run():
         host = Host()
-        await host.tell('a', 'b', 'c')
+        await host.report_crashes('a', 'b', 'c')
         snapshot = host.state_machine.snapshot()
         later = Host(machine=StateMachine(snapshot=snapshot))
-        assert (await later.trial()).state == TrialState.quarantined.value
-        assert list((await later.watch()).quarantine.quarantined) == [GUILTY]
+        assert (await later.request_trial()).state == TrialState.quarantined.value
+        assert list((await later.watch()).quarantine.quarantined) == [CRASHING_CONTENT]
 
     asyncio.run(run())
 
@@ -257,15 +257,15 @@
 
     async def run():
         host = Host(commits=False)
-        await host.tell('a', 'b', 'c')
+        await host.report_crashes('a', 'b', 'c')
         later = Host()
-        assert (await later.trial()).state == TrialState.granted.value
-        await later.quarantining.take_ends(received(ends('a', 'b', 'c')))
-        await later.quarantining.take_ends(received(ends('a', 'b', 'c')))
+        assert (await later.request_trial()).state == TrialState.granted.value
+        await later.quarantining.handle_crashes(received(crash_report('a', 'b', 'c')))
+        await later.quarantining.handle_crashes(received(crash_report('a', 'b', 'c')))
         later.clock.advance(2 * REPORT_SETTLE_S)
-        later.quarantining._judge()
-        assert (await later.trial()).state == TrialState.quarantined.value
-        assert len(later.quarantining.book.evidence.crashes) == 3
+        later.quarantining._evaluate()
+        assert (await later.request_trial()).state == TrialState.quarantined.value
+        assert len(later.quarantining.quarantine.evidence.crashes) == 3
 
     asyncio.run(run())
 
@@ -273,12 +273,12 @@
 def test_content_that_is_served_is_free_and_stays_free():
     async def run():
         host = Host()
-        await host.tell('a', 'b', 'c')
-        served = ServedReport(content=GUILTY, software='v1')
-        reply = await host.quarantining.take_served(received(served))
+        await host.report_crashes('a', 'b', 'c')
+        served = ServedReport(content=CRASHING_CONTENT, software='v1')
+        reply = await host.quarantining.handle_served(received(served))
         await asyncio.sleep(0.01)
         assert isinstance(reply.reply, Heard)
-        assert (await host.trial()).state == TrialState.granted.value
+        assert (await host.request_trial()).state == TrialState.granted.value
         assert not host.state_machine.state.quarantined
 
     asyncio.run(run())
@@ -287,14 +287,14 @@
 def test_new_release_puts_a_verdict_to_the_test():
     async def run():
         host = Host()
-        await host.tell('a', 'b', 'c')
-        host.service._note(report('old', software='v1'))
-        host.service._note(report('new', software='v2'))
-        assert (await host.trial()).state == TrialState.quarantined.value
+        await host.report_crashes('a', 'b', 'c')
+        host.service._record_report(report('old', software='v1'))
+        host.service._record_report(report('new', software='v2'))
+        assert (await host.request_trial()).state == TrialState.quarantined.value
         host.service.directory.expire(host.clock.advance(60))
-        host.service._note(report('new', 2, software='v2'))
-        host.service._note(report('new', 3, software='v2'))
-        states = [(await host.trial()).state for _ in range(2)]
+        host.service._record_report(report('new', 2, software='v2'))
+        host.service._record_report(report('new', 3, software='v2'))
+        states = [(await host.request_trial()).state for _ in range(2)]
         assert states == [TrialState.granted.value, TrialState.busy.value]
 
     asyncio.run(run())
@@ -330,13 +330,13 @@
 @pytest.mark.parametrize(('warm', 'held'), [(False, {'one', 'two'}), (True, {'two'})])
 def test_gateway_holds_to_verdicts_until_a_new_leader_has_heard_all(warm, held):
     one = follower()
-    one.take(news('e1', 'one'))
-    one.take(news('e2', 'two', warm=warm))
+    one.apply(news('e1', 'one'))
+    one.apply(news('e2', 'two', warm=warm))
     assert set(one.quarantine.quarantined) == held
 
 
 def test_gateway_that_lost_its_leader_holds_to_the_verdicts():
     one = follower()
-    one.take(news('e1', 'one'))
-    one._lose('c1', 'gone')
+    one.apply(news('e1', 'one'))
+    one._mark_disconnected('c1', 'gone')
     assert set(one.quarantine.quarantined) == {'one'}
--- a/tests/test_control/test_control_zonedraining.py
+++ b/tests/test_control/test_control_zonedraining.py
@@ -6,7 +6,7 @@
 
 from ringseam.backends import GatewayState
 from ringseam.commands import DrainZone, ZoneDrained
-from ringseam.control.follow import FollowService, HeldDocument
+from ringseam.control.follow import FollowedState, FollowService
 from ringseam.control.openinterface import OpenInterface
 from ringseam.control.replicamessages import Leadership, NotLeading, Propose, ReadConfirmed
 from ringseam.control.state import StateMachine, encode_command
@@ -22,7 +22,7 @@
 from ringseam.zones import DrainedZones
 from tests.fakes import Network
 
-LEADS = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
+LEADING = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
 DRAIN = ZoneOrder(zone='a', drained=True)
 RESTORE = ZoneOrder(zone='a', drained=False)
 
@@ -109,17 +109,17 @@
 @pytest.mark.parametrize('seed', range(1, 6))
 def test_order_of_a_leader_that_was_cut_off_takes_no_later_one_back(seed):
     network = Network(count=3, seed=seed)
-    cut = network.await_leader().node.address
-    network.isolate(cut)
-    lost = network.ask(
-        network.hosts[cut].replica, Propose(command=DrainZone(zone='a', drained=True))
+    isolated = network.await_leader().node.address
+    network.isolate(isolated)
+    unconfirmed = network.ask(
+        network.hosts[isolated].replica, Propose(command=DrainZone(zone='a', drained=True))
     )
     network.run(3)
     order(network, 'a', drained=True)
     order(network, 'a', drained=False)
     network.cuts.clear()
     network.run(5)
-    assert not isinstance(lost.sent, ZoneDrained)
+    assert not isinstance(unconfirmed.sent, ZoneDrained)
     assert drained(network) == ()
 
 
@@ -129,26 +129,26 @@
 class Leader:
     """A follow service whose log commits at once, or not at all."""
 
-    def __init__(self, *, leadership=LEADS, commits=True):
+    def __init__(self, *, leadership=LEADING, commits=True):
         self.commits = commits
         self.state_machine = StateMachine()
         self.service = FollowService(
             node=Node(name='c1', role='control', address='c1', secret=b'x'),
             submit=self.submit,
-            confirm=self.confirm,
-            voters_needed=5,
-            report_s=1.2,
+            confirm_leadership=self.confirm_leadership,
+            target_voters=5,
+            report_interval_s=1.2,
         )
-        self.service.lead(leadership)
+        self.service.update_leadership(leadership)
 
     async def submit(self, command):
         if not self.commits:
             return NotLeading()
         done = self.state_machine.apply(encode_command(command))
-        self.service.hold(HeldDocument(zones=self.state_machine.state.zones))
+        self.service.update_state(FollowedState(zones=self.state_machine.state.zones))
         return done
 
-    async def confirm(self):
+    async def confirm_leadership(self):
         return ReadConfirmed(term=3) if self.commits else NotLeading()
 
 
@@ -204,8 +204,8 @@
         news = (await leader.service.watch(received())).reply
         await leader.service.zones.order(DRAIN)
         newer = (await leader.service.watch(received())).reply
-        for told in (news, newer, news):
-            follower.apply(told)
+        for update in (news, newer, news):
+            follower.apply(update)
         assert follower.view.drained.names == ('a',)
         await leader.service.zones.order(RESTORE)
         follower.apply((await leader.service.watch(received())).reply)
@@ -224,13 +224,13 @@
         raise UnreachableError('no leader')
 
 
-async def listen(leader, zones=frozenset({'a', 'hall b'})):
+async def start_interface(leader, zones=frozenset({'a', 'hall b'})):
     """Return a server of the open interface of a host, and its port."""
     interface = OpenInterface(
         node=leader.service.node,
         follow=leader.service,
-        leader=NoLeader(),
-        addresses=list,
+        leader_client=NoLeader(),
+        peer_addresses=list,
         metrics=Metrics(),
         document_bytes=1000,
         zones=zones,
@@ -239,11 +239,11 @@
     return server, await server.start('127.0.0.1', 0)
 
 
-async def call(leader, asked, **known):
+async def send_request(leader, raw_request, **known):
     """Return the status that a host answers some bytes with."""
-    server, port = await listen(leader, **known)
+    server, port = await start_interface(leader, **known)
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
-    writer.write(asked.encode())
+    writer.write(raw_request.encode())
     raw = await reader.readuntil(b'\r\n')
     writer.close()
     await server.close()
@@ -266,21 +266,21 @@
 )
 def test_open_interface_answers_orders(line, body, status):
     leader = Leader()
-    asked = f'{line} HTTP/1.1\r\nHost: c\r\nContent-Length: {len(body)}\r\n\r\n{body}'
-    assert asyncio.run(call(leader, asked)) == status
+    raw_request = f'{line} HTTP/1.1\r\nHost: c\r\nContent-Length: {len(body)}\r\n\r\n{body}'
+    assert asyncio.run(send_request(leader, raw_request)) == status
     changed = leader.state_machine.state.zones.change
     assert changed == int(status == 200 and line.startswith('POST'))
 
 
 def test_open_interface_that_knows_no_zones_takes_any():
-    asked = 'POST /api/evacuate/c HTTP/1.1\r\nHost: c\r\n\r\n'
-    assert asyncio.run(call(Leader(), asked, zones=frozenset())) == 200
+    raw_request = 'POST /api/evacuate/c HTTP/1.1\r\nHost: c\r\n\r\n'
+    assert asyncio.run(send_request(Leader(), raw_request, zones=frozenset())) == 200
 
 
 def test_order_that_can_not_be_committed_may_come_again():
     """A 4xx would end the operator's call."""
-    asked = 'POST /api/evacuate/a HTTP/1.1\r\nHost: c\r\n\r\n'
-    assert asyncio.run(call(Leader(commits=False), asked)) == 503
+    raw_request = 'POST /api/evacuate/a HTTP/1.1\r\nHost: c\r\n\r\n'
+    assert asyncio.run(send_request(Leader(commits=False), raw_request)) == 503
 
 
 def test_order_whose_sender_has_given_up_is_dropped():
@@ -288,7 +288,7 @@
 
     async def run():
         leader = Leader()
-        server, port = await listen(leader)
+        server, port = await start_interface(leader)
         _, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(b'POST /api/evacuate/a HTTP/1.1\r\nHost: c\r\n\r\n')
         writer.close()
--- a/tests/test_gateway/test_following/test_following_coldservers.py
+++ b/tests/test_gateway/test_following/test_following_coldservers.py
@@ -166,14 +166,14 @@
 
 
 def test_directory_tells_all_gateways_that_a_server_is_cold():
-    directory = BackendDirectory(epoch='e', started=0, silent_s=4, follower_s=2)
+    directory = BackendDirectory(epoch='e', started=0, silence_timeout_s=4, gateway_timeout_s=2)
     assert directory.report(report('e0', cold_left_s=3.0), 0)
     # Later reports state the same end of the cold time, slightly delayed.
     assert not directory.report(report('e0', cold_left_s=1.8, sequence=2), 1.3)
     assert not directory.report(report('e0', sequence=3), 4)
     assert directory.report(report('e0', cold_left_s=2.0, sequence=4), 9)
     request = WatchRequest(gateway=GatewayState(name='g', address='1.1.1.1:1', zone='a'))
-    assert directory.news(request, 10).reports[0].cold_left_s == 1.0
+    assert directory.delta(request, 10).reports[0].cold_left_s == 1.0
 
 
 def news(**fields):
--- a/tests/test_gateway/test_following/test_following_documentfetch.py
+++ b/tests/test_gateway/test_following/test_following_documentfetch.py
@@ -5,7 +5,7 @@
 import asyncio
 import os
 
-from ringseam.control.follow import FollowService, HeldDocument
+from ringseam.control.follow import FollowedState, FollowService
 from ringseam.documents import PART_BYTES
 from ringseam.errors import UnreachableError
 from ringseam.gateway.following.documentfetch import DocumentFetcher
@@ -23,12 +23,12 @@
     service = FollowService(
         node=Node(name='c', role='control', address='c:1', secret=b''),
         submit=None,
-        confirm=None,
-        voters_needed=1,
-        report_s=1.2,
+        confirm_leadership=None,
+        target_voters=1,
+        report_interval_s=1.2,
     )
     for number, body in documents:
-        service.hold(HeldDocument(number=number, document=body))
+        service.update_state(FollowedState(number=number, document=body))
     return service
 
 
