--- a/ringseam/entry/guard.py
+++ b/ringseam/entry/guard.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from ringseam.config import Stage
     from ringseam.contents import ContentId
-    from ringseam.entry.asks import Ask
+    from ringseam.entry.requestcontext import RequestContext
     from ringseam.entry.runs import CallerRequest
     from ringseam.messages import AgentState, StageReply
     from ringseam.node import Node
@@ -27,61 +27,66 @@
 logger = logging.getLogger(__name__)
 
 
-class ContentGuard:
+class QuarantineGuard:
     """What this entry has seen contents do to servers."""
 
     def __init__(self, *, node: Node) -> None:
         """Begin without evidence."""
         self.node = node
-        self.book = Quarantine()
+        self.quarantine = Quarantine()
 
-    def content_of(self, request: CallerRequest) -> ContentId:
+    def content_id_of(self, request: CallerRequest) -> ContentId:
         """Return what a caller asks for, whatever its key."""
-        address = (request.account.name, request.pipeline.name, request.content_type)
-        return keyed_content_id(address, request.body, secret=self.node.secret)
+        scope = (request.account.name, request.pipeline.name, request.content_type)
+        return keyed_content_id(scope, request.body, secret=self.node.secret)
 
-    def admit(self, ask: Ask) -> TrialState:
+    def admit(self, context: RequestContext) -> TrialState:
         """Return whether an ask may run now; a run on trial goes on."""
         now = self.node.clock.now()
-        for fallen in self.book.evaluate(now):
+        for content_id in self.quarantine.evaluate(now):
             self.node.events.emit(
                 logger,
                 Event.content_quarantined,
-                content=fallen,
-                ends=sorted(self.book.verdicts[fallen].crashes),
+                content=content_id,
+                ends=sorted(self.quarantine.verdicts[content_id].crashes),
             )
-        if ask.on_trial and ask.content_id not in self.book.verdicts:
+        if context.is_trial_run and context.content_id not in self.quarantine.verdicts:
             return TrialState.granted
-        state = self.book.request_run(ask.content_id, now, ask.left_s(now))
-        ask.on_trial = state is TrialState.granted and ask.content_id in self.book.trial_deadlines
-        return state
+        trial_state = self.quarantine.request_run(context.content_id, now, context.remaining_s(now))
+        context.is_trial_run = (
+            trial_state is TrialState.granted
+            and context.content_id in self.quarantine.trial_deadlines
+        )
+        return trial_state
 
-    def note(self, ask: Ask, stage: Stage, agent: AgentState, reply: StageReply) -> None:
+    def record_reply(
+        self, context: RequestContext, stage: Stage, agent: AgentState, reply: StageReply
+    ) -> None:
         """Hear how a try ended: the server bore it, has ended, or neither is known."""
         now = self.node.clock.now()
         if isinstance(reply, StageDone):
-            self.book.record_answer(ask.content_id, stage.model, now)
+            self.quarantine.record_answer(context.content_id, stage.model, now)
         elif getattr(reply, 'server_ended', False):
-            suspect = Suspect(content=ask.content_id, account=ask.account.name)
-            end = ServerCrash(
+            suspect = Suspect(content=context.content_id, account=context.account.name)
+            crash = ServerCrash(
                 instance=BackendId(agent.name),
                 service=stage.pool,
                 software=stage.model,
                 suspects=(suspect,),
             )
-            self.book.record_crash(end, now)
+            self.quarantine.record_crash(crash, now)
             # One run is what was granted: its retry asks anew.
-            self.conclude(ask)
-            ask.on_trial = False
+            self.finish(context)
+            context.is_trial_run = False
             self.node.events.emit(
                 logger,
                 Event.backend_ended,
                 backend=agent.name,
                 under_way=1,
-                contents=[ask.content_id],
+                contents=[context.content_id],
             )
 
-    def conclude(self, ask: Ask) -> None:
+    def finish(self, context: RequestContext) -> None:
         """Hear that an ask is over."""
-        if ask.on_trial:
-            self.book.finish_trial(ask.content_id)
+        if context.is_trial_run:
+            self.quarantine.finish_trial(context.content_id)
--- a/tests/test_entry/test_entry_claims.py
+++ b/tests/test_entry/test_entry_claims.py
@@ -18,8 +18,8 @@
 from ringseam.config import Account, Configuration, read_part
 from ringseam.control.state import StateMachine, encode_command
 from ringseam.costs import CostTotals
-from ringseam.entry.guard import ContentGuard
-from ringseam.entry.runs import CallerRequest, PipelineRuns
+from ringseam.entry.guard import QuarantineGuard
+from ringseam.entry.runs import CallerRequest, PipelineRunner
 from ringseam.entry.state import EntryState
 from ringseam.errors import UnreachableError
 from ringseam.limits import AccountLimits
@@ -41,26 +41,26 @@
 from tests.conftest import PART_FILE
 
 AGENT = 'signaller'
-MEMORY_S = 600
+RETENTION_S = 600
 
 
 class DeadError(Exception):
     """The entry was killed here."""
 
 
-class World:
+class Cluster:
     """A ledger and an agent with its server, shared by entries."""
 
     def __init__(self):
         self.clock = PausedClock(start=1)
-        self.machine = StateMachine()
-        self.new_agent()
-        self.runs = 0
-        self.holding = False
+        self.state_machine = StateMachine()
+        self.restart_agent()
+        self.executions = 0
+        self.keeps_running = False
 
-    def new_agent(self):
+    def restart_agent(self):
         self.incarnation = f'incarnation-{self.clock.now()}'
-        self.table = ExecutionTable(incarnation=self.incarnation, retention_s=MEMORY_S)
+        self.table = ExecutionTable(incarnation=self.incarnation, retention_s=RETENTION_S)
         self.table.record_sequence(1, self.clock.now())
 
     def state(self):
@@ -82,8 +82,8 @@
         if not isinstance(decision, Admitted):
             return StageRunning()
         self.table.start(decision.execution, self.clock.now())
-        self.runs += 1
-        if self.holding:
+        self.executions += 1
+        if self.keeps_running:
             return StageRunning()
         reply = StageDone(
             request_id=dispatch.request_id,
@@ -97,22 +97,22 @@
         return reply
 
 
-class Entry:
+class StoppableEntry:
     """One entry whose calls can be stopped at an instant."""
 
-    def __init__(self, world, stop_at='', freeze=False):
-        self.world = world
+    def __init__(self, cluster, stop_at='', freeze=False):
+        self.cluster = cluster
         self.stop_at = stop_at
         self.freeze = freeze
-        self.woken = asyncio.Event()
+        self.resumed = asyncio.Event()
         self.stopped = asyncio.Event()
         view = AgentView()
-        view.merge('c', _delta(world.state()), 0)
+        view.merge('c', _delta(cluster.state()), 0)
         estimates = StageEstimates()
         part = read_part(PART_FILE, path='p')
         self.current = Configuration(revision=1, parts={'demo': part})
-        node = Node(name='e', role='entry', address='', secret=b'k', clock=world.clock)
-        self.runs = PipelineRuns(
+        node = Node(name='e', role='entry', address='', secret=b'k', clock=cluster.clock)
+        self.runner = PipelineRunner(
             state=EntryState(
                 node=node,
                 client=self,
@@ -126,36 +126,36 @@
                 admission=AdaptiveAdmission(estimates=estimates, view=view),
                 costs=CostTotals(),
                 metrics=Metrics(),
-                guard=ContentGuard(node=node),
+                guard=QuarantineGuard(node=node),
             ),
         )
 
-    async def instant(self, name):
-        if name != self.stop_at:
+    async def reach(self, step):
+        if step != self.stop_at:
             return
         self.stopped.set()
         if not self.freeze:
-            raise DeadError(name)
-        await self.woken.wait()
+            raise DeadError(step)
+        await self.resumed.wait()
 
     async def ask_leader(self, method, request, *, timeout_s):
-        kind = type(request.command).__name__
-        await self.instant(f'before {kind}')
-        outcome = self.world.machine.apply(encode_command(request.command))
-        await self.instant(f'after {kind}')
+        command_name = type(request.command).__name__
+        await self.reach(f'before {command_name}')
+        outcome = self.cluster.state_machine.apply(encode_command(request.command))
+        await self.reach(f'after {command_name}')
         return outcome
 
     async def call(self, address, method, message, *, timeout_s):
         if method is DISPATCH:
-            await self.instant('before dispatch')
-            reply = self.world.dispatch(message)
-            await self.instant('after dispatch')
+            await self.reach('before dispatch')
+            reply = self.cluster.dispatch(message)
+            await self.reach('after dispatch')
         else:
             assert method is TOMBSTONE
-            reply = self.world.table.tombstone(message, self.world.clock.now())
+            reply = self.cluster.table.tombstone(message, self.cluster.clock.now())
         return Received('a', address, '', 1, DispatchReply(reply=reply))
 
-    async def ask(self, body=b'carton', key='k'):
+    async def send_request(self, body=b'carton', key='k'):
         request = CallerRequest(
             request_id=f'request-{id(self)}',
             account=Account(
@@ -170,10 +170,10 @@
             timeout_ms=5000,
             content_type='t',
             body=body,
-            received=self.world.clock.now(),
+            received_at=self.cluster.clock.now(),
         )
         try:
-            return outcome_name(await self.runs.run(request))
+            return outcome_name(await self.runner.run(request))
         except DeadError:
             return 'dead'
 
@@ -184,7 +184,7 @@
     return DeltaReply(epoch='e', upto=1, whole=True, agents=(state,))
 
 
-INSTANTS = (
+STOP_POINTS = (
     ('before OpenRun', 'completed', 'completed'),
     ('after OpenRun', 'completed', 'completed'),
     ('before ClaimStage', 'completed', 'completed'),
@@ -197,100 +197,103 @@
 
 
 @pytest.mark.parametrize(
-    ('instant', 'second', 'first'), INSTANTS, ids=[case[0] for case in INSTANTS]
+    ('stop_point', 'second', 'first'), STOP_POINTS, ids=[case[0] for case in STOP_POINTS]
 )
 @pytest.mark.parametrize('freeze', [False, True], ids=['killed', 'frozen'])
-def test_entry_stops_at(instant, second, first, freeze):
+def test_entry_stops_at(stop_point, second, first, freeze):
     async def run():
-        world = World()
-        stopping, other = Entry(world, stop_at=instant, freeze=freeze), Entry(world)
-        asked = asyncio.create_task(stopping.ask())
+        cluster = Cluster()
+        stopping, other = (
+            StoppableEntry(cluster, stop_at=stop_point, freeze=freeze),
+            StoppableEntry(cluster),
+        )
+        pending = asyncio.create_task(stopping.send_request())
         await stopping.stopped.wait()
-        assert await other.ask() == second
-        assert world.runs == 1
-        stopping.woken.set()
-        assert await asked == (first if freeze else 'dead')
-        assert await Entry(world).ask() == 'completed'
-        assert world.runs == 1
+        assert await other.send_request() == second
+        assert cluster.executions == 1
+        stopping.resumed.set()
+        assert await pending == (first if freeze else 'dead')
+        assert await StoppableEntry(cluster).send_request() == 'completed'
+        assert cluster.executions == 1
 
     asyncio.run(asyncio.wait_for(run(), 10))
 
 
-def test_running_for_a_dead_entry_is_in_progress_then_known():
+def test_execution_of_a_killed_entry_is_in_progress_for_its_successor():
     async def run():
-        world = World()
-        world.holding = True
-        assert await Entry(world, stop_at='after dispatch').ask() == 'dead'
-        assert await Entry(world).ask() == 'in-progress'
-        assert world.runs == 1
+        cluster = Cluster()
+        cluster.keeps_running = True
+        assert await StoppableEntry(cluster, stop_at='after dispatch').send_request() == 'dead'
+        assert await StoppableEntry(cluster).send_request() == 'in-progress'
+        assert cluster.executions == 1
 
     asyncio.run(run())
 
 
 def test_agent_replaced_after_the_claim_is_unknown_for_good():
     async def run():
-        world = World()
-        assert await Entry(world, stop_at='after dispatch').ask() == 'dead'
-        world.clock.advance(1)
-        world.new_agent()
-        assert await Entry(world).ask() == 'unknown'
-        assert await Entry(world).ask() == 'unknown'
-        assert world.runs == 1
+        cluster = Cluster()
+        assert await StoppableEntry(cluster, stop_at='after dispatch').send_request() == 'dead'
+        cluster.clock.advance(1)
+        cluster.restart_agent()
+        assert await StoppableEntry(cluster).send_request() == 'unknown'
+        assert await StoppableEntry(cluster).send_request() == 'unknown'
+        assert cluster.executions == 1
 
     asyncio.run(run())
 
 
-def test_agent_out_of_reach_is_unknown_and_not_rerun():
+def test_unreachable_agent_is_unknown_and_not_rerun():
     async def run():
-        world = World()
-        assert await Entry(world, stop_at='after ClaimStage').ask() == 'dead'
-        cut = Entry(world)
+        cluster = Cluster()
+        assert await StoppableEntry(cluster, stop_at='after ClaimStage').send_request() == 'dead'
+        partitioned = StoppableEntry(cluster)
 
         async def unreachable(*call, **named):
             raise UnreachableError('cut')
 
-        cut.call = unreachable
-        assert await cut.ask() == 'unknown'
-        assert world.runs == 0
-        assert await Entry(world).ask() == 'completed'
-        assert world.runs == 1
+        partitioned.call = unreachable
+        assert await partitioned.send_request() == 'unknown'
+        assert cluster.executions == 0
+        assert await StoppableEntry(cluster).send_request() == 'completed'
+        assert cluster.executions == 1
 
     asyncio.run(run())
 
 
-def test_frozen_for_longer_than_the_agent_remembers():
+def test_entry_frozen_for_longer_than_the_agent_retains_executions():
     """The ticket is older than the agent's memory: refused, and truly not run."""
 
     async def run():
-        world = World()
-        frozen = Entry(world, stop_at='before dispatch', freeze=True)
-        asked = asyncio.create_task(frozen.ask())
+        cluster = Cluster()
+        frozen = StoppableEntry(cluster, stop_at='before dispatch', freeze=True)
+        pending = asyncio.create_task(frozen.send_request())
         await frozen.stopped.wait()
-        for second in range(2, 2 * MEMORY_S, 10):
-            world.clock.advance(10)
-            world.table.record_sequence(second, world.clock.now())
-            world.table.expire(world.clock.now())
-        frozen.woken.set()
-        assert await asked in {'not-run', 'unknown', 'failed'}
-        assert world.runs == 0
+        for second in range(2, 2 * RETENTION_S, 10):
+            cluster.clock.advance(10)
+            cluster.table.record_sequence(second, cluster.clock.now())
+            cluster.table.expire(cluster.clock.now())
+        frozen.resumed.set()
+        assert await pending in {'not-run', 'unknown', 'failed'}
+        assert cluster.executions == 0
 
     asyncio.run(run())
 
 
 def test_same_key_other_body_is_rejected():
     async def run():
-        world = World()
-        assert await Entry(world).ask() == 'completed'
-        assert await Entry(world).ask(b'another carton') == 'rejected'
-        assert world.runs == 1
+        cluster = Cluster()
+        assert await StoppableEntry(cluster).send_request() == 'completed'
+        assert await StoppableEntry(cluster).send_request(b'another carton') == 'rejected'
+        assert cluster.executions == 1
 
     asyncio.run(run())
 
 
 def test_refusal_of_the_agent_is_not_run():
     async def run():
-        world = World()
-        world.dispatch = lambda message: StageNotRun(reason=RefusalReason.declared)
-        assert await Entry(world).ask() == 'not-run'
+        cluster = Cluster()
+        cluster.dispatch = lambda message: StageNotRun(reason=RefusalReason.declared)
+        assert await StoppableEntry(cluster).send_request() == 'not-run'
 
     asyncio.run(run())
--- a/tests/test_entry/test_entry_limits.py
+++ b/tests/test_entry/test_entry_limits.py
@@ -49,40 +49,40 @@
     assert limits.admit(ACCOUNT, 2) == 0
 
 
-def test_a_burst_leaves_places_for_others_and_for_high_priority():
-    places = RequestSlots(total=64)
-    assert places.take('small', 1)
-    taken = sum(places.take('large', 1) for _ in range(100))
+def test_burst_leaves_slots_for_other_accounts_and_high_priority():
+    slots = RequestSlots(total=64)
+    assert slots.take('small', 1)
+    taken = sum(slots.take('large', 1) for _ in range(100))
     assert taken < 64 * PRIORITY_SHARES[1]
-    assert places.take('small', 1)
-    assert all(places.take('floor', 0) for _ in range(8))
+    assert slots.take('small', 1)
+    assert all(slots.take('floor', 0) for _ in range(8))
 
 
-def test_naive_places_go_to_whoever_comes_first():
-    places = RequestSlots(total=10, fair=False)
-    assert sum(places.take('large', 2) for _ in range(20)) == 10
-    assert not places.take('floor', 0)
+def test_unfair_slots_go_to_whoever_comes_first():
+    slots = RequestSlots(total=10, fair=False)
+    assert sum(slots.take('large', 2) for _ in range(20)) == 10
+    assert not slots.take('floor', 0)
 
 
 @given(st.lists(st.tuples(st.booleans(), st.sampled_from('abc')), max_size=200))
 def test_places_never_leak(steps):
-    places, held = RequestSlots(total=8), []
+    slots, held = RequestSlots(total=8), []
     for takes, account in steps:
-        if takes and places.take(account, 0):
+        if takes and slots.take(account, 0):
             held.append(account)
         elif held:
-            places.release(held.pop())
-        assert places.used == len(held) <= 8
-        assert sum(places.by_account.values()) == len(held)
+            slots.release(held.pop())
+        assert slots.used == len(held) <= 8
+        assert sum(slots.by_account.values()) == len(held)
 
 
-def test_outage_makes_no_retry_storm():
-    budget, blind = BudgetRetries(), BlindRetries()
-    allowed = [sum(policy.may_retry(RETRY) for _ in range(1000)) for policy in (budget, blind)]
+def test_outage_causes_no_retry_storm():
+    budgeted, blind = BudgetRetries(), BlindRetries()
+    allowed = [sum(policy.may_retry(RETRY) for _ in range(1000)) for policy in (budgeted, blind)]
     assert allowed == [10, 1000]
     for _ in range(100):
-        budget.record_success()
-    assert sum(budget.may_retry(RETRY) for _ in range(100)) in {9, 10}
+        budgeted.record_success()
+    assert sum(budgeted.may_retry(RETRY) for _ in range(100)) in {9, 10}
 
 
 def test_no_retry_without_time_for_it():
@@ -108,44 +108,46 @@
 
 
 @given(leases)
-def test_leased_shares_never_exceed_the_leased_part(asks):
+def test_leased_shares_never_exceed_the_leased_part(demands):
     """Against a naive sum of all leases that may still be used."""
-    book, now, standing = ShareLeases(term=1, leading_since=-100), 0.0, []
-    for entry, demand, gap in asks:
+    shares, now, leases_in_force = ShareLeases(term=1, leading_since=-100), 0.0, []
+    for entry, demand, gap in demands:
         now += gap
-        share = book.grant(entry, {'p/a': demand}, now)['p/a']
-        standing = [kept for kept in standing if kept[1] > now and kept[0] != entry]
-        standing.append((entry, now + LEASE_S, share))
-        assert sum(kept[2] for kept in standing) <= LEASED_PART + 1e-9
+        share = shares.grant(entry, {'p/a': demand}, now)['p/a']
+        leases_in_force = [
+            lease for lease in leases_in_force if lease[1] > now and lease[0] != entry
+        ]
+        leases_in_force.append((entry, now + LEASE_S, share))
+        assert sum(lease[2] for lease in leases_in_force) <= LEASED_PART + 1e-9
 
 
 def test_shares_move_to_the_demand():
-    book = ShareLeases(term=1, leading_since=-100)
-    book.grant('a', {'p/a': 1}, 0)
+    shares = ShareLeases(term=1, leading_since=-100)
+    shares.grant('a', {'p/a': 1}, 0)
     for now in range(1, 20):
-        busy = book.grant('b', {'p/a': 99}, now)['p/a']
-        idle = book.grant('a', {'p/a': 1}, now)['p/a']
+        busy = shares.grant('b', {'p/a': 99}, now)['p/a']
+        idle = shares.grant('a', {'p/a': 1}, now)['p/a']
     assert busy > 0.45
     assert idle < 0.02
 
 
 def test_new_leader_waits_for_the_old_ones_leases():
-    book = ShareLeases(term=1, leading_since=10)
-    assert book.grant('a', {'p/a': 1}, 10 + LEASE_S) == {}
-    assert book.grant('a', {'p/a': 1}, 20) == {'p/a': LEASED_PART}
+    shares = ShareLeases(term=1, leading_since=10)
+    assert shares.grant('a', {'p/a': 1}, 10 + LEASE_S) == {}
+    assert shares.grant('a', {'p/a': 1}, 20) == {'p/a': LEASED_PART}
 
 
 @pytest.mark.parametrize(('leased', 'refused'), [(0, 186), (LEASED_PART, 0)])
-def test_one_of_two_entries_refuses_what_is_beyond_its_share(leased, refused):
+def test_entry_refuses_requests_beyond_its_share(leased, refused):
     """Why bench.speed saw refusals on an idle machine: 800 asks at 548 a second, of
     an account with the default limit, before control had leased a share."""
     account = Account(name='p/a', token_sha256='', rate_per_s=1000, concurrency=256, weight=1)
     limits = AccountLimits(planned_entries=2)
     limits.apply_lease({account.name: leased}, float('inf'))
-    found = 0
+    refusals = 0
     for number in range(800):
         if limits.admit(account, number / 548):
-            found += 1
+            refusals += 1
         else:
             limits.release(account)
-    assert found == refused
+    assert refusals == refused
