--- a/ringseam/entry/guard.py
+++ b/ringseam/entry/guard.py
@@ -1,7 +1,7 @@
-"""Guarding backend servers from contents that end each server that runs them.
+"""Protection of backend servers against contents that crash every server that runs them.
 
-An entry judges by what it has seen itself: the agent beside a server tells whether it
-ended under a run. So a content costs three servers an entry.
+An entry decides on its own observations only: the agent on the server's host reports whether
+the server crashed during a run. A content therefore costs three servers per entry.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
 
 
 class QuarantineGuard:
-    """What this entry has seen contents do to servers."""
+    """Evidence that this entry collects, and the verdicts based on it."""
 
     def __init__(self, *, node: Node) -> None:
-        """Begin without evidence."""
+        """Start without evidence."""
         self.node = node
         self.quarantine = Quarantine()
 
     def content_id_of(self, request: CallerRequest) -> ContentId:
-        """Return what a caller asks for, whatever its key."""
+        """Return a digest of what a caller asks for, independent of its key."""
         scope = (request.account.name, request.pipeline.name, request.content_type)
         return keyed_content_id(scope, request.body, secret=self.node.secret)
 
     def admit(self, context: RequestContext) -> TrialState:
-        """Return whether an ask may run now; a run on trial goes on."""
+        """Return whether a request may run now; a trial run in progress may continue."""
         now = self.node.clock.now()
         for content_id in self.quarantine.evaluate(now):
             self.node.events.emit(
@@ -62,7 +62,7 @@
     def record_reply(
         self, context: RequestContext, stage: Stage, agent: AgentState, reply: StageReply
     ) -> None:
-        """Hear how a try ended: the server bore it, has ended, or neither is known."""
+        """Record whether the server survived a try or crashed; other replies are no evidence."""
         now = self.node.clock.now()
         if isinstance(reply, StageDone):
             self.quarantine.record_answer(context.content_id, stage.model, now)
@@ -75,7 +75,7 @@
                 suspects=(suspect,),
             )
             self.quarantine.record_crash(crash, now)
-            # One run is what was granted: its retry asks anew.
+            # Only one run was granted: a retry has to request another trial run.
             self.finish(context)
             context.is_trial_run = False
             self.node.events.emit(
@@ -87,6 +87,6 @@
             )
 
     def finish(self, context: RequestContext) -> None:
-        """Hear that an ask is over."""
+        """Release the trial run of a request that has finished."""
         if context.is_trial_run:
             self.quarantine.finish_trial(context.content_id)
--- a/tests/test_entry/test_entry_claims.py
+++ b/tests/test_entry/test_entry_claims.py
@@ -1,9 +1,8 @@
-"""An entry that dies or freezes at each instant of work that may not be repeated.
+"""An entry is killed or frozen at each step of a request that must not run twice.
 
-Two entries, one ledger and one agent's execution table, all real; only the
-network and the server are fakes. A row of the table says where the first entry
-stops; then the second entry asks with the same key, and then the first goes on
-if it was only frozen.
+Two entries, the ledger and an agent's execution table are real; the network and the backend
+server are fakes. The first entry stops at the given step, the second one then serves a request
+with the same key, and finally the first one resumes if it was only frozen.
 """
 
 from __future__ import annotations
@@ -45,11 +44,11 @@
 
 
 class DeadError(Exception):
-    """The entry was killed here."""
+    """The entry is killed at this step."""
 
 
 class Cluster:
-    """A ledger and an agent with its server, shared by entries."""
+    """A ledger and an agent with its backend server, shared by several entries."""
 
     def __init__(self):
         self.clock = PausedClock(start=1)
@@ -98,7 +97,7 @@
 
 
 class StoppableEntry:
-    """One entry whose calls can be stopped at an instant."""
+    """An entry that is killed or frozen when its calls reach the step ``stop_at``."""
 
     def __init__(self, cluster, stop_at='', freeze=False):
         self.cluster = cluster
@@ -262,7 +261,7 @@
 
 
 def test_entry_frozen_for_longer_than_the_agent_retains_executions():
-    """The ticket is older than the agent's memory: refused, and truly not run."""
+    """The ticket predates what the agent retains: it is refused and the stage does not run."""
 
     async def run():
         cluster = Cluster()
--- a/tests/test_entry/test_entry_guard.py
+++ b/tests/test_entry/test_entry_guard.py
@@ -1,7 +1,7 @@
-"""Contents that end the servers beside agents, as an entry sees it.
+"""Quarantine of contents that crash backend servers, as decided by an entry.
 
-The load: a caller asks for the same body under new keys, again and again; each run ends
-the backend server, and the agent says so.
+A caller repeatedly sends the same body under new keys. Each run crashes the backend server,
+and the agent reports the crash.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class CrashingCluster(Cluster):
-    """An agent whose server ends under one body, and is back for the next ask."""
+    """An agent whose server crashes on one body and has restarted by the next request."""
 
     def __init__(self, server_ended=True):
         super().__init__()
@@ -73,7 +73,7 @@
 
 
 def test_key_that_may_have_run_stays_unknown_after_the_verdict():
-    """A rejection says that nothing ran; of this key that isn't known."""
+    """A rejection would claim that nothing ran, which is not known for this key."""
 
     async def run():
         cluster = CrashingCluster()
@@ -88,7 +88,7 @@
 
 
 def test_trial_run_whose_server_crashes_is_not_tried_at_another_agent():
-    """Its third end is told by then; a retry would only cost a fourth server."""
+    """The third crash is already recorded; a retry would only crash a fourth server."""
     clock = PausedClock(start=1)
     guard = QuarantineGuard(node=Node(name='e', role='entry', address='', secret=b's', clock=clock))
     stage = SimpleNamespace(pool='demo/signals', model='m1')
--- a/tests/test_entry/test_entry_limits.py
+++ b/tests/test_entry/test_entry_limits.py
@@ -1,4 +1,4 @@
-"""RequestSlots, account limits, retry budgets and estimates under load."""
+"""Request slots, account limits, retry budgets and estimates under load."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 
 @given(leases)
 def test_leased_shares_never_exceed_the_leased_part(demands):
-    """Against a naive sum of all leases that may still be used."""
+    """Compare with the sum of all leases that may still be in use."""
     shares, now, leases_in_force = ShareLeases(term=1, leading_since=-100), 0.0, []
     for entry, demand, gap in demands:
         now += gap
@@ -139,8 +139,10 @@
 
 @pytest.mark.parametrize(('leased', 'refused'), [(0, 186), (LEASED_PART, 0)])
 def test_entry_refuses_requests_beyond_its_share(leased, refused):
-    """Why bench.speed saw refusals on an idle machine: 800 asks at 548 a second, of
-    an account with the default limit, before control had leased a share."""
+    """Without a leased share an entry refuses part of a load within the account's limit.
+
+    The load is 800 requests at 548 requests/s from an account with the default limit.
+    """
     account = Account(name='p/a', token_sha256='', rate_per_s=1000, concurrency=256, weight=1)
     limits = AccountLimits(planned_entries=2)
     limits.apply_lease({account.name: leased}, float('inf'))
