--- a/ringseam/control/applying.py
+++ b/ringseam/control/applying.py
@@ -1,4 +1,4 @@
-"""Operators' files: who may apply them, what is wrong with them, and the commit."""
+"""Authorization, validation and commit of operators' configuration files."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ApplyService:
-    """Check files and commit them whole, or change nothing."""
+    """Validate configuration files and commit each one whole, or change nothing."""
 
     def __init__(
         self,
@@ -46,7 +46,13 @@
         was_accepted: Callable[[str, int, str], Awaitable[bool]],
         commit: Callable[[ApplyFile], Awaitable[Any]],
     ) -> None:
-        """Commit by ``commit``; ``bootstrap`` has digests by part."""
+        """Start with the configuration of ``holder``.
+
+        :param bootstrap_digests: digests of operator tokens, by part, for parts that
+            have no file yet.
+        :param was_accepted: returns whether an apply was accepted before.
+        :param commit: commits a command to the replicated log.
+        """
         self.node = node
         self.holder = holder
         self.bootstrap_digests = bootstrap_digests
@@ -54,11 +60,11 @@
         self.commit = commit
 
     async def apply(self, request: ApplyRequest) -> Any:
-        """Return the reply to a request, at a host that leads for sure."""
+        """Return the reply to a request; a quorum must have confirmed this leader."""
         if not self._is_operator(request):
             return ApplyForbidden()
         apply_id = config.apply_id(request.text, request.expect)
-        # A resend is answered as at first, also when it would be refused now.
+        # A resent request gets its first answer, even if it would be refused by now.
         if not await self.was_accepted(request.part, request.expect, apply_id):
             findings = self._check(request)
             if findings:
@@ -118,7 +124,7 @@
 
 
 def redirect_if_not_leading(outcome: Any) -> Any:
-    """Return an outcome, or where the leader may be instead of "not leading"."""
+    """Return an outcome, or a redirect to the leader in place of ``NotLeading``."""
     return Redirect(leader=outcome.leader) if isinstance(outcome, NotLeading) else outcome
 
 
--- a/ringseam/control/backenddirectory.py
+++ b/ringseam/control/backenddirectory.py
@@ -1,4 +1,4 @@
-"""The leader's directory of backend servers and of what gateways confirmed."""
+"""The leader's directory of backend servers and of what gateways have confirmed."""
 
 from __future__ import annotations
 
@@ -15,54 +15,60 @@
     from ringseam.backends import BackendId, BackendReport, GatewayState
     from ringseam.following import WatchRequest
 
-#: Changes that are remembered for gateways that lag.
+#: Maximum number of removals that are remembered for lagging gateways.
 _MAX_REMOVED = 4096
-#: Servers that are remembered for having started again.
+#: Maximum number of servers whose last replaced lifetime is remembered.
 _MAX_RESTARTED = 4096
-#: Reports are late by up to this without their server being cold for longer, seconds.
+#: Delay of a report that doesn't count as a longer cold period, seconds.
 _COLD_TOLERANCE_S = 0.3
 
 
 @dataclass(kw_only=True)
 class FollowingGateway:
-    """A gateway, when it was heard and what it has confirmed."""
+    """A gateway, the time of its last watch, and what it has confirmed."""
 
     state: GatewayState
     last_contact: float
+    #: The latest change of the directory that it has applied.
     since: int = 0
+    #: Number of the document that is in force.
     number: int = 0
-    #: The change of drained zones that it obeys.
+    #: The latest change of drained zones that it has applied.
     zones: int = 0
 
 
 @dataclass(kw_only=True)
 class BackendDirectory:
-    """Soft state of one leadership; ``epoch`` names it. Times in seconds."""
+    """Servers and gateways known during one leadership; never replicated.
+
+    ``epoch`` identifies the leadership. Times are in seconds.
+    """
 
     epoch: str
     started: float
-    #: A server is silent after this long without a report.
+    #: A server without a report for this long is silent and is removed.
     silence_timeout_s: float
-    #: A gateway is no longer waited for after this long without a call.
+    #: Confirmations no longer wait for a gateway without a watch for this long.
     gateway_timeout_s: float
     entries: dict[BackendId, BackendEntry] = field(default_factory=dict)
-    #: The lifetime that has a row, by the server's name.
+    #: The lifetime that has an entry, by the server's name.
     lifetimes: dict[str, BackendId] = field(default_factory=dict)
-    #: Lifetimes that a later start has ended.
+    #: Lifetimes that a later start of the same server has replaced.
     ended: EndedLifetimes = field(default_factory=lambda: EndedLifetimes(capacity=_MAX_RESTARTED))
+    #: Change numbers and lifetimes of the latest removals.
     removed: list[tuple[int, BackendId]] = field(default_factory=list)
     gateways: dict[str, FollowingGateway] = field(default_factory=dict)
     change: int = 0
     oldest_removed: int = 0
-    #: The change at which the set of gateways last became another.
+    #: The latest change of the set of gateways.
     gateways_change: int = 0
 
     def report(self, report: BackendReport, now: float) -> bool:
-        """Take in a report; True when gateways must hear of it.
+        """Record a report; return whether gateways must learn of it.
 
-        A later start under a name takes the row of the earlier one, of which what
-        still arrives changes nothing. Once the later one has fallen silent, a start
-        between both is believed: the clock may have been set back.
+        A later start of a server replaces its earlier lifetime, whose late reports are
+        ignored. Once the later lifetime is silent, a start between the two is accepted:
+        the server's clock may have been set back.
         """
         current = self.lifetimes.get(name_of(report.instance), report.instance)
         if report.instance in self.ended or start_ms_of(report.instance) < start_ms_of(current):
@@ -84,11 +90,12 @@
         return changed
 
     def with_lifetime(self, report: BackendReport, wall_ms: int) -> BackendReport | None:
-        """Return a report that doesn't tell when its server started; None: a foreign one.
+        """Return a report without a start time with the lifetime it belongs to.
 
-        A leave counts for the lifetime that is known, or for all that have begun by
-        now: it may be the first that a new leader hears of the server. Any other report
-        isn't from a server that has told its start before.
+        A leave belongs to the known lifetime or, if none is known, to all that have
+        started by now: it may be the first report that a new leader receives. Any other
+        such report is foreign if the known lifetime has reported its start; then the
+        result is None.
         """
         lifetime = self.lifetimes.get(report.instance)
         if report.state is not BackendState.gone:
@@ -98,7 +105,7 @@
         return msgspec.structs.replace(report, instance=lifetime)
 
     def expire(self, now: float) -> list[BackendId]:
-        """Drop servers that fell silent and return them."""
+        """Remove silent servers and gateways; return the servers."""
         silent = [
             name
             for name, entry in self.entries.items()
@@ -116,7 +123,7 @@
         return silent
 
     def record_watch(self, request: WatchRequest, now: float) -> None:
-        """Hear a gateway and what it confirms."""
+        """Record a gateway's watch request and what it confirms."""
         name = request.gateway.name
         previous = self.gateways.get(name)
         same_epoch = request.epoch == self.epoch
@@ -131,29 +138,33 @@
             self._mark_gateways_changed()
 
     def record_confirmation(self, name: str, number: int) -> None:
-        """Hear that a document is in force at a gateway."""
+        """Record that a document is in force at a gateway."""
         gateway = self.gateways.get(name)
         if gateway is not None:
             gateway.number = max(gateway.number, number)
 
     def is_confirmed(self, *, change: int = 0, number: int = 0, zones: int = 0) -> bool:
-        """Return whether every gateway that is heard holds this much."""
+        """Return whether every known gateway has confirmed at least these changes."""
         return all(
             gateway.since >= change and gateway.number >= number and gateway.zones >= zones
             for gateway in self.gateways.values()
         )
 
     def has_changes(self, request: WatchRequest, number: int) -> bool:
-        """Return whether a gateway lacks something."""
+        """Return whether a gateway lacks a change or the document ``number``."""
         is_current = request.epoch == self.epoch and request.since >= self.change
         return not is_current or max(request.number, request.heard) < number
 
     def has_warmed_up(self, now: float) -> bool:
-        """Return whether every living server has had the time to report."""
+        """Return whether every live server has had time to report."""
         return now - self.started > self.silence_timeout_s
 
     def delta(self, request: WatchRequest, now: float) -> WatchNews:
-        """Return what is newer than what the gateway holds."""
+        """Return the changes that the gateway lacks.
+
+        Returns the whole directory for another epoch, or when removals that it lacks
+        may have been forgotten.
+        """
         whole = request.epoch != self.epoch or request.since < self.oldest_removed
         first = 0 if whole else request.since
         return WatchNews(
@@ -171,7 +182,7 @@
         )
 
     def retire(self, retired: EndedLifetimes) -> None:
-        """Let servers that are known to leave take no new work."""
+        """Mark ready servers whose lifetime is retired as draining."""
         for instance, entry in self.entries.items():
             if instance in retired and entry.report.state is BackendState.ready:
                 self.change += 1
@@ -201,13 +212,13 @@
 
 
 def _is_colder(report: BackendReport, previous: BackendEntry, now: float) -> bool:
-    """Return whether a server says that it is cold for longer than it said before."""
+    """Return whether a server reports a longer cold period than before."""
     cold_until = previous.received_at + previous.report.cold_left_s
     return report.cold_left_s > 0 and now + report.cold_left_s > cold_until + _COLD_TOLERANCE_S
 
 
 def _with_remaining_cold_time(entry: BackendEntry, now: float) -> BackendReport:
-    """Return a report with what is left of a server's cold time."""
+    """Return a report with the remaining part of the server's cold period."""
     if not entry.report.cold_left_s:
         return entry.report
     remaining_s = max(0, entry.received_at + entry.report.cold_left_s - now)
--- a/ringseam/control/documentservice.py
+++ b/ringseam/control/documentservice.py
@@ -1,4 +1,4 @@
-"""Documents of routes at the leader: accepted, read and handed out in parts."""
+"""Route documents at the control hosts: accepting, reading and serving them in parts."""
 
 from __future__ import annotations
 
@@ -32,32 +32,37 @@
 
 logger = logging.getLogger(__name__)
 
-#: An acknowledgement waits this long for gateways, seconds; below the two seconds in
-#: which a change must be in force and well below the operator's patience.
+#: Maximum wait for the confirmations of gateways before a change is acknowledged, seconds:
+#: below the 2 s within which a change must be in force, and well below the 4 s after
+#: which operators give up.
 CONFIRM_TIMEOUT_S = 1.8
-#: Bytes of documents that may wait for their commit; while a disk stalls, operators
-#: send the same ones again each second or so, to a host of 300 MB.
+#: Maximum size of the documents that wait for their commit. While a disk stalls, operators
+#: resend the same documents about once a second, to a host with 300 MB of memory.
 _MAX_PENDING_BYTES = 16 * 2**20
 
 
 class DocumentService:
-    """Accept documents by number, and serve the newest."""
+    """Accept numbered documents, and serve the newest one."""
 
     def __init__(self, *, follow: FollowService) -> None:
-        """Tell the gateways that ``follow`` serves."""
+        """Use the state, leadership and gateways of ``follow``."""
         self.follow = follow
         self.history = DocumentHistory()
-        #: Bytes of submitted documents that aren't committed yet.
+        #: Total size of submitted documents that aren't committed yet.
         self.pending_bytes = 0
 
     def serve(self, server: CallServer) -> None:
-        """Take the calls of gateways and of other control hosts."""
+        """Register the methods that gateways and other control hosts call."""
         server.add(DOCUMENT_PART, self.document_part)
         server.add(SUBMIT, self.submit_document)
         server.add(READ_DOCUMENT, self.read_document)
 
     async def document_part(self, received: Received) -> PartReply:
-        """Return a part of an accepted document; any host that holds it may."""
+        """Return a part of an accepted document; any control host that has it can.
+
+        Offsets count in the encoded change from the document that the gateway has, or
+        in the whole document if that change isn't available.
+        """
         request: PartRequest = received.body
         base = request.held
         change = self.history.change(base, request.number)
@@ -70,11 +75,11 @@
         return PartReply(reply=DocumentPart(held=base, total=len(change), part=part))
 
     async def submit_document(self, received: Received) -> DocumentReply:
-        """Accept a checked document, and answer once it is in force."""
+        """Accept a validated document, and answer once it is in force."""
         return DocumentReply(reply=await self.accept(received.body))
 
     async def accept(self, submit: Submit) -> DocumentHeld | NotYet | Redirect:
-        """Commit a document; answer once the gateways that are heard have it."""
+        """Commit a document; return once the gateways confirm it or the wait times out."""
         if not self.follow.leadership.can_serve:
             return self.follow.redirect
         if not self.follow.tolerates_losses:
@@ -114,15 +119,15 @@
             await self.follow.confirm_leadership(), NotLeading
         ):
             return self.follow.redirect
-        # What the actor applied before the barrier is on its way to this loop.
+        # Lets this loop run the state updates that the actor scheduled before the barrier.
         await asyncio.sleep(0)
         return DocumentHeld(number=self.follow.state.number, document=self.follow.state.document)
 
     async def _commit(self, submit: Submit) -> int | None:
-        """Return the newest number, at least the submitted one; None: not leading.
+        """Return the newest number, at least the submitted one; None if not leading.
 
-        A document that isn't newer than the one in force changes nothing, so it needs
-        a quorum's word that this host leads and no entry in the log.
+        A document that isn't newer than the accepted one changes nothing: it needs no
+        log entry, only a quorum's confirmation that this replica leads.
         """
         if submit.number <= self.follow.state.number:
             confirmed = await self.follow.confirm_leadership()
--- a/ringseam/control/follow.py
+++ b/ringseam/control/follow.py
@@ -1,4 +1,4 @@
-"""What the leader does for gateways, backend servers and submitted documents."""
+"""Leader-side service for gateways, backend servers and submitted documents."""
 
 from __future__ import annotations
 
@@ -48,31 +48,36 @@
 
 logger = logging.getLogger(__name__)
 
-#: A watch without news is answered after this long, seconds.
+#: A watch is answered after this long even if nothing has changed, seconds.
 WATCH_TIMEOUT_S = 1.0
-#: A backend server is silent after this many times the interval of its reports: two may be
-#: lost in a row and the third be late.
+#: A backend server is considered silent after this many report intervals: two reports in
+#: a row may be lost and the third be late.
 _SILENT_REPORT_INTERVALS = 3.75
-#: A gateway whose watch is overdue by half a watch isn't waited for, seconds.
+#: Confirmations don't wait for a gateway whose last watch began longer ago, seconds: its
+#: next watch is late by more than half the time-out of a watch.
 _GATEWAY_TIMEOUT_S = 1.6
 _EXPIRY_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True, kw_only=True)
 class FollowedState:
-    """The accepted document and the backend servers that have left."""
+    """Replicated state that gateways follow: the accepted document and what goes with it."""
 
     number: int = 0
     document: bytes = b''
+    #: Lifetimes of backend servers that are shutting down or have left.
     retired: tuple[str, ...] = ()
-    #: Contents that end servers.
+    #: Quarantined contents: they crash the servers that run them.
     quarantined: Mapping[ContentId, RecordedVerdict] = field(default_factory=dict)
-    #: Availability zones whose servers get nothing new.
+    #: Drained availability zones, whose servers get no new requests.
     zones: DrainedZones = field(default_factory=DrainedZones)
 
 
-class FollowService:  # noqa: WPS214 - the calls of one interface
-    """Serve gateways and backend servers while this replica leads."""
+class FollowService:  # noqa: WPS214 - methods of one RPC interface
+    """Serve gateways and backend servers while this replica leads.
+
+    Other replicas redirect to the leader.
+    """
 
     def __init__(
         self,
@@ -83,9 +88,12 @@
         target_voters: int,
         report_interval_s: float,
     ) -> None:
-        """Commit by ``submit``; ``confirm`` checks leadership by a quorum.
+        """Start without a leader.
 
-        :param report_s: how often backend servers report, seconds.
+        :param submit: commits a command to the replicated log.
+        :param confirm_leadership: lets a quorum confirm that this replica leads.
+        :param target_voters: number of voters of a complete group.
+        :param report_interval_s: interval of the reports of a backend server, seconds.
         """
         self.node = node
         self.submit = submit
@@ -106,13 +114,13 @@
         )
         self.documents = DocumentService(follow=self)
         self.zones = ZoneDrainService(follow=self)
-        #: Where backend servers should report; the open interface knows it.
+        #: Address to which backend servers should report, sent with each acknowledgement.
         self.report_to = ''
 
-    # -- what the replica tells ---------------------------------------------
+    # -- updates from the replica -------------------------------------------
 
     def update_state(self, state: FollowedState) -> None:
-        """Take what the state machine holds now."""
+        """Replace the followed state, unless its document is older, and notify watchers."""
         if state.number < self.state.number:
             return
         if state.number > self.state.number:
@@ -126,7 +134,7 @@
         self._notify_watchers()
 
     def update_leadership(self, leadership: Leadership) -> None:
-        """Hear who leads."""
+        """Record who leads; a new leadership starts with empty directories."""
         starts_leading = leadership.can_serve and not self.leadership.can_serve
         self.leadership = leadership
         if starts_leading:
@@ -136,19 +144,22 @@
 
     @property
     def redirect(self) -> Redirect:
-        """Return where the leader may be."""
+        """Return a redirect to the last known leader; empty if that is this replica."""
         leader = self.leadership.leader
         return Redirect(leader='' if leader == self.node.address else leader)
 
     @property
     def tolerates_losses(self) -> bool:
-        """Return whether the group is, or once was, as large as it shall become."""
+        """Return whether the group has, or once had, its target number of voters.
+
+        An accepted document shows that it once had.
+        """
         return self.state.number > 0 or self.leadership.voters >= self.target_voters
 
-    # -- calls --------------------------------------------------------------
+    # -- RPC methods --------------------------------------------------------
 
     def serve(self, server: CallServer) -> None:
-        """Take the calls of gateways and of other control hosts."""
+        """Register the methods that gateways and other control hosts call."""
         server.add(WATCH, self.watch)
         server.add(CONFIRM, self.record_confirmation)
         server.add(REPORT_BACKEND, self.report)
@@ -157,7 +168,7 @@
         self.zones.serve(server)
 
     async def watch(self, received: Received) -> WatchReply:
-        """Return news to a gateway, waiting a little for some."""
+        """Return what has changed for a gateway, once something has or on time-out."""
         request: WatchRequest = received.body
         if not self.leadership.can_serve:
             return WatchReply(reply=self.redirect)
@@ -180,21 +191,25 @@
         )
 
     async def record_confirmation(self, received: Received) -> Empty:
-        """Hear that a document is in force at a gateway."""
+        """Record that a document is in force at a gateway."""
         confirmation: Confirmation = received.body
         self.directory.record_confirmation(confirmation.gateway.name, confirmation.number)
         self._notify_watchers()
         return Empty()
 
     async def report(self, received: Received) -> ReportAnswer:
-        """Take a backend server's report; a leave only once it is known."""
+        """Accept a backend server's report forwarded by another control host."""
         return ReportAnswer(reply=await self.accept_report(received.body))
 
     async def accept_report(
         self,
         report: BackendReport,
     ) -> ReportTaken | ReportForeign | Redirect:
-        """Take a backend server's report; a leave only once it is known."""
+        """Record a backend server's report.
+
+        A leave is committed first, and acknowledged once the gateways confirm it or the
+        wait for them times out.
+        """
         if not self.leadership.can_serve:
             return self.redirect
         if not start_ms_of(report.instance):
@@ -223,8 +238,8 @@
         return ReportTaken(report_to=self.report_to)
 
     async def run_expiry(self) -> None:
-        """Drop what has fallen silent."""
-        while True:  # noqa: WPS457 - ends with the role
+        """Remove silent servers and gateways at intervals."""
+        while True:  # noqa: WPS457 - cancelled with the role
             await asyncio.sleep(_EXPIRY_INTERVAL_S)
             before = self.directory.change
             for backend in self.directory.expire(self.node.clock.now()):
@@ -233,7 +248,7 @@
                 self._notify_watchers()
 
     async def wait(self, condition: Callable[[], bool], timeout_s: float) -> None:
-        """Return once a condition holds, or after ``limit_s`` seconds."""
+        """Return once a condition holds, or after ``timeout_s`` seconds."""
         deadline = self.node.clock.now() + timeout_s
         while not condition():
             remaining_s = deadline - self.node.clock.now()
@@ -248,7 +263,7 @@
     # -- helpers ------------------------------------------------------------
 
     def _has_changes(self, request: WatchRequest) -> bool:
-        """Return whether a gateway lacks something."""
+        """Return whether a gateway lacks a change."""
         if request.quarantine != self.quarantining.quarantine.version:
             return True
         if request.zones < self.state.zones.change:
@@ -262,7 +277,7 @@
         return self.quarantining.snapshot()
 
     def _is_leaving(self, instance: BackendId) -> bool:
-        """Return whether a lifetime has said that it leaves: its end was planned."""
+        """Return whether a lifetime has announced its departure, so its end is planned."""
         entry = self.directory.entries.get(instance)
         leaving = entry is not None and entry.report.state is not BackendState.ready
         return leaving or instance in self.retired
@@ -289,11 +304,11 @@
             self._notify_watchers()
 
     def _update_quarantine(self, report: BackendReport) -> None:
-        """Let the quarantine hear a server, where it holds something against its like."""
+        """Pass a server's report to the quarantine if it can affect a verdict."""
         if not self.quarantining.quarantine.is_affected_by(report):
             return
         software: set[str] = set()
-        # A directory that has just begun doesn't know who else runs which version.
+        # A new directory doesn't yet know which versions the other servers run.
         if self.directory.has_warmed_up(self.node.clock.now()):
             software.update(
                 entry.report.software
@@ -302,7 +317,7 @@
                 and entry.report.state is BackendState.ready
             )
         previous = self.directory.lifetimes.get(name_of(report.instance), report.instance)
-        # What a replaced lifetime sent before its end is no sign that it lives.
+        # A late report of a replaced lifetime doesn't show that the server is alive.
         is_alive = start_ms_of(report.instance) >= start_ms_of(previous)
         self.quarantining.record_report(report, software, is_alive=is_alive)
 
--- a/ringseam/control/openinterface.py
+++ b/ringseam/control/openinterface.py
@@ -1,4 +1,4 @@
-"""The open interface of control hosts: backend servers and operators over HTTP."""
+"""HTTP interface of control hosts for backend servers and operators."""
 
 from __future__ import annotations
 
@@ -48,21 +48,21 @@
 
 logger = logging.getLogger(__name__)
 
-#: A report must be answered within a second; a leave waits for gateways.
+#: A report must be answered within 1 s; a leave also waits for gateways. Seconds.
 _REPORT_TIMEOUT_S = 0.9
 _LEAVE_TIMEOUT_S = 2.6
-#: A document waits for gateways; the operator gives up after four seconds.
+#: A submitted document waits for gateways; operators give up after 4 s. Seconds.
 _SUBMIT_TIMEOUT_S = 3.0
 _READ_TIMEOUT_S = 0.9
-#: An order for a zone waits for gateways as a document does.
+#: A zone order waits for gateways, as a document does. Seconds.
 _ORDER_TIMEOUT_S = 3.0
-#: An order whose sender has given up by now is dropped, seconds: the end of its
-#: connection arrives with its bytes where both were held up.
+#: Delay before an order is executed, seconds. An order whose sender has disconnected by
+#: then is dropped: after a stall, the request and the disconnect arrive together.
 _DISCONNECT_GRACE_S = 0.01
-#: A report has some hundred bytes; one of a server with many models a few thousand.
+#: A report has some hundred bytes; for a server with many models, a few thousand.
 _MAX_REPORT_BYTES = 64 * 2**10
-#: Refused reports that are logged at once, and then in each second: enough to see who
-#: sends them, where a server that reports each second would fill the log.
+#: Number of refused reports that are logged in a burst, and then per second: enough to
+#: identify the senders, while one server that reports each second can't fill the log.
 _REFUSAL_LOG_BURST = 20
 _REFUSAL_LOGS_PER_S = 1.0
 _MAX_LOGGED_CHARACTERS = 200
@@ -77,7 +77,7 @@
 
 
 class OpenInterface:
-    """Answer the calls of backend servers and operators."""
+    """Serve the HTTP requests of backend servers and operators."""
 
     def __init__(
         self,
@@ -90,10 +90,11 @@
         document_bytes: int,
         zones: frozenset[str],
     ) -> None:
-        """Answer here when this replica leads, else through the leader.
+        """Answer locally if this replica leads, otherwise through the leader.
 
-        :param document_bytes: the largest document that the hosts have memory for.
-        :param zones: all availability zones; empty where they aren't known.
+        :param peer_addresses: returns the addresses of all control hosts.
+        :param document_bytes: maximum size of a document, by the memory of the hosts.
+        :param zones: all availability zones; empty if unknown.
         """
         self.node = node
         self.follow = follow
@@ -105,7 +106,7 @@
         self.refusal_log_budget = LineBudget(lines=_REFUSAL_LOG_BURST, per_s=_REFUSAL_LOGS_PER_S)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one call, and measure it."""
+        """Answer one request, and record its duration and status."""
         started = self.node.clock.now()
         try:
             await self._handle(exchange)
@@ -220,7 +221,7 @@
         order = await self._parse_order(exchange)
         if order is None:
             return
-        # This task is cancelled when the connection ends.
+        # This task is cancelled if the connection closes during the delay.
         await asyncio.sleep(_DISCONNECT_GRACE_S)
         reply = await self._call_leader(
             ORDER_ZONE, order, self.follow.zones.order, _ORDER_TIMEOUT_S
@@ -229,7 +230,7 @@
         await exchange.respond(status, [_JSON], json_body({}))
 
     async def _parse_order(self, exchange: Exchange) -> ZoneOrder | None:
-        """Return the order of a call; None: it was answered with what is wrong."""
+        """Return the order of a request; None if it was refused and answered."""
         request = exchange.request
         if not is_zone_method(request.method):
             await exchange.respond(_NOT_ALLOWED, [])
@@ -274,7 +275,10 @@
         local: Callable[[Any], Any],
         timeout_s: float,
     ) -> Any:
-        """Answer here when this replica leads, else ask the leader."""
+        """Answer locally if this replica leads, otherwise call the leader.
+
+        Returns None if no leader answers in time.
+        """
         reply = await local(message)
         if not isinstance(reply, Redirect):
             return reply
@@ -283,7 +287,7 @@
         try:
             return await self.leader_client.ask_leader(method, message, timeout_s=timeout_s)
         except UnreachableError as error:
-            logger.debug('no leader for %s: %s', method.path, error)
+            logger.debug('no leader answered %s: %s', method.path, error)
             return None
 
 
@@ -294,9 +298,9 @@
 
 
 def _check_report_size(body: bytes) -> bytes:
-    """Return a report's body.
+    """Return the body of a report.
 
-    :raises ValueError: when no report is as large.
+    :raises ValueError: if it is larger than a report can be.
     """
     if len(body) > _MAX_REPORT_BYTES:
         raise ValueError(f'{len(body)} bytes; a report has {_MAX_REPORT_BYTES} at most')
--- a/ringseam/control/quarantining.py
+++ b/ringseam/control/quarantining.py
@@ -1,4 +1,4 @@
-"""What the leader does about contents that end the servers that run them."""
+"""Leader-side quarantine of contents that crash the servers that run them."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 
 logger = logging.getLogger(__name__)
 
-#: How often evidence is judged, seconds: well below the 3 s in which gateways must hold
-#: to a verdict. Until then what is suspected runs on trial only.
+#: Interval of evaluating the evidence, seconds: well below the 3 s within which gateways
+#: must enforce a verdict. Until then a suspected content runs in trial runs only.
 EVALUATION_INTERVAL_S = 0.05
 
 
 class QuarantineService:
-    """Collect evidence while this replica leads, judge it and tell the gateways."""
+    """Collect and evaluate evidence while this replica leads, and inform the gateways."""
 
     def __init__(
         self,
@@ -56,11 +56,12 @@
         redirect: Callable[[], Redirect | None],
         is_planned: Callable[[BackendId], bool],
     ) -> None:
-        """Record verdicts by ``submit``.
+        """Start without evidence or verdicts.
 
-        :param wake: lets watches that wait look again.
-        :param redirect: returns where the leader may be; None: here.
-        :param is_planned: tells whether a lifetime has said that it leaves.
+        :param submit: commits a command to the replicated log.
+        :param notify_watchers: makes waiting watches check for changes.
+        :param redirect: returns a redirect to the leader; None if this replica leads.
+        :param is_planned: returns whether a lifetime has announced its departure.
         """
         self.node = node
         self.submit = submit
@@ -71,7 +72,7 @@
         self.tasks = TaskSet()
 
     def start_leadership(self, recorded: Mapping[str, RecordedVerdict]) -> None:
-        """Begin a leadership with the verdicts of the log; evidence is sent again."""
+        """Start with the recorded verdicts only; gateways send their evidence again."""
         now = self.node.clock.now()
         self.quarantine = Quarantine()
         for content, record in recorded.items():
@@ -84,16 +85,16 @@
             )
             self.quarantine.restore(ContentId(content), verdict)
 
-    # -- calls of gateways --------------------------------------------------
+    # -- RPC methods for gateways -------------------------------------------
 
     def serve(self, server: CallServer) -> None:
-        """Take these calls on a server."""
+        """Register the methods that gateways call."""
         server.add(REPORT_CRASHES, self.handle_crashes)
         server.add(REPORT_SERVED, self.handle_served)
         server.add(TRIAL, self.handle_trial)
 
     async def handle_crashes(self, received: Received) -> EvidenceReply:
-        """Hear what was under way on servers that ended."""
+        """Record which contents were in flight on servers that crashed."""
         redirect = self.redirect()
         if redirect is not None:
             return EvidenceReply(reply=redirect)
@@ -103,7 +104,7 @@
         return EvidenceReply(reply=Heard())
 
     async def handle_served(self, received: Received) -> EvidenceReply:
-        """Hear that a content was answered by a server, so it doesn't end such servers."""
+        """Record that a server answered a content: it doesn't crash this version."""
         redirect = self.redirect()
         if redirect is not None:
             return EvidenceReply(reply=redirect)
@@ -113,7 +114,7 @@
         return EvidenceReply(reply=Heard())
 
     async def handle_trial(self, received: Received) -> TrialReply:
-        """Tell whether a suspected content may run now, or hear that its run is over."""
+        """Return whether a suspected content may run now, or record that its run is over."""
         redirect = self.redirect()
         if redirect is not None:
             return TrialReply(reply=redirect)
@@ -131,17 +132,21 @@
         )
         return TrialReply(reply=TrialAnswer(state=state.value))
 
-    # -- what else is heard and told ----------------------------------------
+    # -- reports and snapshots ----------------------------------------------
 
     def record_report(self, report: BackendReport, software: set[str], *, is_alive: bool) -> None:
-        """Hear a server, whether it may live, and which versions its service runs."""
+        """Record a server's report and the software versions of its service.
+
+        :param is_alive: whether the report shows that the server is alive; a late one
+            of a replaced lifetime doesn't.
+        """
         with self._publish_changes():
             if is_alive:
                 self.quarantine.record_report(report.instance, self.node.clock.now())
             self.quarantine.update_software(report.service, software)
 
     def snapshot(self) -> QuarantineSnapshot:
-        """Return all that gateways hold to."""
+        """Return verdicts, suspects and confined accounts, which gateways enforce."""
         wall_ms = self.node.clock.wall_ms()
         now = self.node.clock.now()
         return QuarantineSnapshot(
@@ -155,8 +160,8 @@
         )
 
     async def run_evaluation(self) -> None:
-        """Judge the evidence at short intervals."""
-        while True:  # noqa: WPS457 - ends with the role
+        """Evaluate the evidence at short intervals."""
+        while True:  # noqa: WPS457 - cancelled with the role
             await asyncio.sleep(EVALUATION_INTERVAL_S)
             self._evaluate()
 
@@ -164,13 +169,13 @@
 
     @contextlib.contextmanager
     def _publish_changes(self) -> Iterator[None]:
-        """Let gateways hear what the block changes, and record what it releases."""
+        """Notify gateways of what the block changes, and record released contents."""
         version = self.quarantine.version
         previous = set(self.quarantine.verdicts)
         yield
         for content in previous - set(self.quarantine.verdicts):
             is_retest = content in self.quarantine.lifted
-            self._release(content, 'put to the test' if is_retest else 'servers bear it')
+            self._release(content, 'lifted for a retest' if is_retest else 'evidence refuted')
         if self.quarantine.version != version:
             self.notify_watchers()
 
@@ -184,7 +189,7 @@
             planned=planned,
             contents=len(crash.suspects),
         )
-        # A planned end says nothing of what was under way.
+        # A planned end is no evidence against the contents that were in flight.
         if not planned:
             with self._publish_changes():
                 self.quarantine.record_crash(crash, self.node.clock.now())
@@ -221,8 +226,10 @@
         self.tasks.spawn(self._commit(RecordVerdict(content=content, lifted=True)))
 
     async def _commit(self, command: RecordVerdict) -> None:
-        """Record a verdict, so that it outlives this leader and a loss of all power."""
+        """Record a verdict in the log, so that it outlives this leader and a power failure."""
         outcome = await self.submit(command)
         if isinstance(outcome, NotLeading):
-            # Gateways that know it hold to it, and send their evidence to the next leader.
-            logger.warning('verdict on %s not recorded', command.content)
+            # Gateways that have the verdict enforce it, and resend evidence to the next leader.
+            logger.warning(
+                'verdict on content %s not committed: lost leadership or no quorum', command.content
+            )
--- a/ringseam/control/role.py
+++ b/ringseam/control/role.py
@@ -1,4 +1,4 @@
-"""The control process: a replica of the log, the directory and operators."""
+"""Control process: a log replica, the directories, and the calls of operators."""
 
 from __future__ import annotations
 
@@ -79,8 +79,8 @@
 _COMMIT_TIMEOUT_S = 5.0
 _EXPIRY_INTERVAL_S = 0.2
 _TRANSFER_ATTEMPTS = 20
-#: A body of up to twice the largest document is read, to say what is wrong with it;
-#: a larger one is cut off with a bare 413.
+#: HTTP bodies of up to this many times the largest document are read, so that the reply
+#: can explain the refusal; larger ones are answered with 413 and no body.
 _BODY_LIMIT_FACTOR = 2
 
 
@@ -90,7 +90,7 @@
     name = 'control'
 
     def __init__(self, *, settings: Settings) -> None:
-        """Prepare the replica; the folder is read when it opens."""
+        """Create the services; ``open`` reads the data folder."""
         super().__init__(settings=settings)
         self.node.adopts_group = False
         own = settings.own
@@ -122,7 +122,7 @@
         self.actor: Any = None
 
     async def open(self) -> None:
-        """Load the replica, serve, and join or form the group."""
+        """Load the replica, start serving, and join or create the group."""
         loop = asyncio.get_running_loop()
         disk = DiskWait(node=self.node, folder=self.settings.own['data_dir'])
         await disk.wait(lambda: self.draining)
@@ -187,12 +187,12 @@
             await self._open_http_interface()
 
     def reload(self, settings: Settings) -> None:
-        """Take over other seeds."""
+        """Apply reloaded settings, including new seeds."""
         super().reload(settings)
         self.discovery.add_seeds(settings)
 
     async def drain(self) -> None:
-        """Hand leadership over before leaving."""
+        """Transfer leadership to another replica before shutdown."""
         if self.actor is None:
             return
         for _ in range(_TRANSFER_ATTEMPTS):
@@ -203,14 +203,14 @@
                 return
             await asyncio.sleep(self.settings.seconds('heartbeat_ms'))
 
-    # -- methods ------------------------------------------------------------
+    # -- RPC methods --------------------------------------------------------
 
     def deliver_packet(self, received: Received) -> None:
-        """Hand a peer's messages to the replica."""
+        """Pass a peer's messages to the replica."""
         self.actor.tell(Deliver(packet=received.body, address=received.address))
 
     async def hello(self, received: Received) -> HelloReply:
-        """Introduce this folder and remember a blank one."""
+        """Describe this replica and record the caller's data folder if it may join."""
         request: HelloRequest = received.body
         if self._may_join(request):
             self.actor.tell(NonMemberSeen(disk=request.disk, address=request.address))
@@ -228,7 +228,7 @@
         return CommandReply(reply=redirect_if_not_leading(outcome))
 
     async def first_config(self, received: Received) -> FirstConfigReply:
-        """Return the configuration at a linearizable read."""
+        """Return the configuration by a linearizable read."""
         outcome = await self._ask_replica(ReadBarrier())
         if isinstance(outcome, NotLeading):
             return FirstConfigReply(reply=redirect_if_not_leading(outcome))
@@ -236,13 +236,13 @@
         return FirstConfigReply(reply=ConfigFiles(revision=config.revision, files=config.files))
 
     async def report(self, received: Received) -> ReportReply:
-        """Take an agent's state into the directory."""
+        """Record an agent's state in the directory."""
         if self.directory.report(received.body, self.node.clock.now()):
             self.node.events.emit(logger, Event.agent_seen, agent=received.body.name)
         return ReportReply()
 
     async def delta(self, received: Received) -> DeltaReply:
-        """Return directory changes to an entry."""
+        """Return the changes of the agent directory to an entry process."""
         request = received.body
         self.directory.record_process(request.process, self.node.clock.now())
         return self.directory.delta(
@@ -253,7 +253,7 @@
         )
 
     async def lease(self, received: Received) -> LeaseReply:
-        """Grant shares of account limits, while this replica leads for sure."""
+        """Grant shares of account limits after a quorum has confirmed this leader."""
         barrier = await self._ask_replica(ReadBarrier())
         if isinstance(barrier, NotLeading):
             return LeaseReply(reply=redirect_if_not_leading(barrier))
@@ -265,7 +265,7 @@
         return LeaseReply(reply=ShareLease(shares=shares, valid_ms=int(LEASE_S * MS_PER_S)))
 
     async def status(self, received: Received) -> StatusReply:
-        """Return this host's view."""
+        """Return this replica's view of the group and its processes."""
         status: ReplicaStatus = await ask(self.actor, GetReplicaStatus())
         return StatusReply(
             name=self.node.name,
@@ -285,7 +285,7 @@
         )
 
     async def apply(self, received: Received) -> ApplyReply:
-        """Check a part's file and commit it whole, or change nothing."""
+        """Validate and commit the file of a configuration part, or change nothing."""
         barrier = await self._ask_replica(ReadBarrier())
         if isinstance(barrier, NotLeading):
             return ApplyReply(reply=redirect_if_not_leading(barrier))
@@ -304,7 +304,7 @@
         self.server.add(LEASE, self.lease)
         self.follow.serve(self.server)
 
-    # -- applying -----------------------------------------------------------
+    # -- helpers ------------------------------------------------------------
 
     async def _was_accepted(self, part: str, expect: int, apply_id: str) -> bool:
         return await ask(self.actor, FindApply(part=part, expect=expect, apply_id=apply_id))
@@ -316,7 +316,7 @@
         return open_group or request.address in self.settings.process['control']
 
     async def _open_http_interface(self) -> None:
-        """Serve gateways, backend servers and operators over the open interface."""
+        """Serve backend servers and operators over HTTP, and run the leader's loops."""
         leader_client = ControlClient(client=self.client, addresses=())
         document_bytes = self.settings.own['document_bytes']
         interface = OpenInterface(
@@ -336,7 +336,7 @@
         self.spawn(self.follow.quarantining.run_evaluation())
         await self.open_metrics(self.metrics)
 
-    # -- background ---------------------------------------------------------
+    # -- background tasks ---------------------------------------------------
 
     async def _commit(self, command: Any) -> Any:
         return await self._ask_replica(Propose(command=command))
@@ -350,7 +350,7 @@
     async def _run_ticks(self) -> None:
         interval = self.settings.seconds('heartbeat_ms') / 2
         expiry = self.node.clock.now()
-        while True:  # noqa: WPS457 - ends with the role
+        while True:  # noqa: WPS457 - cancelled with the role
             self.actor.tell(Tick())
             now = self.node.clock.now()
             if now >= expiry:
--- a/ringseam/control/zonedraining.py
+++ b/ringseam/control/zonedraining.py
@@ -1,4 +1,4 @@
-"""Orders of operators to drain availability zones, at the leader."""
+"""Leader-side service for operators' orders to drain and restore availability zones."""
 
 from __future__ import annotations
 
@@ -25,30 +25,31 @@
 
 
 class ZoneDrainService:
-    """Commit orders, and acknowledge them once the gateways obey them."""
+    """Commit orders, and acknowledge them once they are in force at the gateways."""
 
     def __init__(self, *, follow: FollowService) -> None:
-        """Tell the gateways that ``follow`` serves."""
+        """Use the state, leadership and gateways of ``follow``."""
         self.follow = follow
 
     def serve(self, server: CallServer) -> None:
-        """Take the calls of other control hosts and of the command line."""
+        """Register the methods that other control hosts and the command line call."""
         server.add(ORDER_ZONE, self.handle_order)
         server.add(READ_ZONES, self.handle_read)
 
     async def handle_order(self, received: Received) -> ZonesReply:
-        """Take an order that came to another host."""
+        """Execute an order forwarded by another control host."""
         return ZonesReply(reply=await self.order(received.body))
 
     async def handle_read(self, received: Received) -> ZonesReply:
-        """Return the drained zones."""
+        """Return the drained zones to the command line."""
         return ZonesReply(reply=await self.read())
 
     async def order(self, order: ZoneOrder) -> DrainedZones | NotYet | Redirect:
-        """Return the drained zones once a majority has the order on disk.
+        """Return the drained zones once a majority has written the order to disk.
 
-        An order that changes nothing is committed as well: only the log tells that no
-        other order came in between.
+        Also waits, for a limited time, until the order is in force at the gateways. An
+        order that changes nothing is committed too: only the log shows that no other
+        order came in between.
         """
         follow = self.follow
         if not follow.leadership.can_serve:
@@ -77,7 +78,7 @@
             await follow.confirm_leadership(), NotLeading
         ):
             return follow.redirect
-        # What the actor applied before the barrier is on its way to this loop.
+        # Lets this loop run the state updates that the actor scheduled before the barrier.
         await asyncio.sleep(0)
         return follow.state.zones
 
--- a/tests/test_control/test_control_follow.py
+++ b/tests/test_control/test_control_follow.py
@@ -1,4 +1,4 @@
-"""What the leader tells gateways, and what it waits for before it acknowledges."""
+"""Changes that the leader sends to gateways, and confirmations that it waits for."""
 
 from __future__ import annotations
 
@@ -62,24 +62,24 @@
     return WatchRequest(gateway=GATEWAY, **fields)
 
 
-def test_news_are_what_changed_since():
+def test_delta_holds_what_changed_since():
     directory = new_directory()
     directory.report(report('i-1'), 0)
-    seen = directory.delta(request(), 0)
-    assert seen.whole
+    first = directory.delta(request(), 0)
+    assert first.whole
     directory.report(report('i-2'), 1)
-    later = directory.delta(request(epoch='e1', since=seen.upto), 1)
+    later = directory.delta(request(epoch='e1', since=first.upto), 1)
     assert [entry.instance for entry in later.reports] == ['i-2']
     assert not later.whole
 
 
-def test_repeated_report_is_no_news():
+def test_repeated_report_is_no_change():
     directory = new_directory()
     assert directory.report(report(sequence=1), 0)
     assert not directory.report(report(sequence=2), 1)
 
 
-def test_server_that_falls_silent_is_dropped_and_told():
+def test_silent_server_is_removed_and_announced():
     directory = new_directory()
     directory.report(report(), 0)
     upto = directory.change
@@ -87,7 +87,7 @@
     assert directory.delta(request(epoch='e1', since=upto), 10).silent == ('i-1',)
 
 
-def test_confirmation_needs_every_gateway_that_is_heard():
+def test_confirmation_needs_every_known_gateway():
     directory = new_directory()
     directory.record_watch(request(epoch='e1', since=5, number=2), 0)
     other = GatewayState(name='g2', address='1.1.1.2:1', zone='b')
@@ -98,7 +98,7 @@
     assert directory.is_confirmed(change=5, number=2)
 
 
-def test_gateway_that_fell_silent_is_not_waited_for():
+def test_silent_gateway_is_not_waited_for():
     directory = new_directory()
     directory.record_watch(request(), 0)
     directory.expire(10)
@@ -106,7 +106,7 @@
 
 
 class Host:
-    """A follow service whose log commits at once, or not at all."""
+    """A control host whose log commits at once, or not at all."""
 
     def __init__(self, *, leads=True, commits=True):
         self.commits = commits
@@ -127,15 +127,15 @@
             return NotLeading()
         if hasattr(command, 'number'):
             if command.number > self.service.state.number:
-                held = FollowedState(number=command.number, document=command.document)
-                self.service.update_state(held)
+                state = FollowedState(number=command.number, document=command.document)
+                self.service.update_state(state)
             return DocumentPut(newest=self.service.state.number)
-        held = FollowedState(
+        state = FollowedState(
             number=self.service.state.number,
             document=self.service.state.document,
             retired=(*self.service.state.retired, command.instance),
         )
-        self.service.update_state(held)
+        self.service.update_state(state)
         return BackendRetired(instance=command.instance)
 
     async def confirm_leadership(self):
@@ -146,7 +146,7 @@
     return Received('g1', '1.1.1.1:1', '', 0, body)
 
 
-def test_host_that_does_not_lead_sends_elsewhere():
+def test_host_that_does_not_lead_redirects():
     async def run():
         host = Host(leads=False)
         assert isinstance(await host.service.accept_report(report()), Redirect)
@@ -154,8 +154,8 @@
             await host.service.documents.accept(Submit(number=1, document=b'')), Redirect
         )
         assert isinstance(await host.service.documents.read_newest(), Redirect)
-        watched = await host.service.watch(received(request()))
-        assert isinstance(watched.reply, Redirect)
+        watch_reply = await host.service.watch(received(request()))
+        assert isinstance(watch_reply.reply, Redirect)
 
     asyncio.run(run())
 
@@ -173,8 +173,8 @@
     asyncio.run(run())
 
 
-def test_document_that_is_sent_again_needs_no_entry_in_the_log():
-    """Load: answers to an operator are lost, and a large document comes again and again."""
+def test_resent_document_needs_no_log_entry():
+    """Answers to an operator are lost, and the same large document is submitted many times."""
 
     async def run():
         host = Host()
@@ -192,24 +192,26 @@
 
 
 def test_documents_that_wait_for_a_stalled_disk_are_bounded():
-    """Load: a commit takes seconds while eight orders come again each second.
-    Grounds: all of them would take a third of a host of 300 MB."""
+    """A commit takes seconds while operators resend eight documents each second; holding
+    all of them would take a third of the memory of a 300 MB host."""
 
     async def run():
         host = Host()
         stalled = asyncio.Event()
         commit = host.service.submit
 
-        async def submit_late(command):
+        async def submit_once_resumed(command):
             await stalled.wait()
             return await commit(command)
 
-        host.service.submit = submit_late
-        orders = [Submit(number=number, document=bytes(2 * 2**20)) for number in range(1, 40)]
-        tasks = [asyncio.ensure_future(host.service.documents.accept(order)) for order in orders]
+        host.service.submit = submit_once_resumed
+        submissions = [Submit(number=number, document=bytes(2 * 2**20)) for number in range(1, 40)]
+        tasks = [
+            asyncio.ensure_future(host.service.documents.accept(submit)) for submit in submissions
+        ]
         await asyncio.sleep(0)
         refused = [task for task in tasks if task.done()]
-        assert len(refused) == len(orders) - 8
+        assert len(refused) == len(submissions) - 8
         stalled.set()
         replies = await asyncio.gather(*tasks)
         assert sum(isinstance(reply, DocumentHeld) for reply in replies) == 8
@@ -219,7 +221,7 @@
     asyncio.run(run())
 
 
-def test_restarted_server_is_told_with_the_end_of_its_earlier_lifetime():
+def test_delta_of_a_restarted_server_ends_its_earlier_lifetime():
     directory = new_directory()
     directory.report(report('i-1#5', sequence=900), 0)
     upto = directory.change
@@ -229,7 +231,7 @@
     assert update.silent == ('i-1#5',)
 
 
-def test_late_message_of_an_earlier_lifetime_changes_nothing():
+def test_late_report_of_an_earlier_lifetime_changes_nothing():
     directory = new_directory()
     directory.report(report('i-1#5', sequence=3), 0)
     directory.report(report('i-1#8', sequence=1), 1)
@@ -241,8 +243,8 @@
     assert directory.change == change + 1
 
 
-def test_late_leave_of_an_earlier_lifetime_leaves_the_later_one():
-    """Also at a leader that has heard of neither, and of the late one first."""
+def test_late_leave_of_an_earlier_lifetime_keeps_the_later_one():
+    """Also at a new leader that knows neither and receives the late leave first."""
 
     async def run():
         host = Host()
@@ -262,7 +264,7 @@
     asyncio.run(run())
 
 
-def test_leave_that_does_not_tell_its_start_counts_for_the_lifetime_that_is_known():
+def test_leave_without_a_start_belongs_to_the_known_lifetime():
     async def run():
         host = Host()
         await host.service.accept_report(report('i-1#8'))
@@ -275,7 +277,7 @@
     asyncio.run(run())
 
 
-def test_leave_at_a_leader_that_knows_no_lifetime_counts_for_all_that_have_begun():
+def test_leave_without_a_known_lifetime_ends_all_started_ones():
     async def run():
         host = Host()
         await host.service.accept_report(departure_report(BackendId('i-1')))
@@ -291,7 +293,7 @@
     asyncio.run(run())
 
 
-def test_report_without_a_start_is_foreign_where_the_server_tells_it():
+def test_report_without_a_start_is_foreign_if_the_known_lifetime_has_one():
     async def run():
         host = Host()
         await host.service.accept_report(report('i-1#8'))
@@ -316,7 +318,7 @@
     asyncio.run(run())
 
 
-def test_leave_is_acknowledged_once_the_gateway_has_it():
+def test_leave_is_acknowledged_once_the_gateway_confirms_it():
     async def run():
         host = Host()
         service = host.service
@@ -353,7 +355,7 @@
     asyncio.run(run())
 
 
-# -- the gateway's side -------------------------------------------------------
+# -- gateway -----------------------------------------------------------------
 
 
 def follower():
@@ -370,14 +372,14 @@
     return WatchNews(epoch=epoch, upto=upto, whole=whole, warm=warm, reports=reports, silent=silent)
 
 
-def test_new_leader_that_has_not_heard_all_takes_nobody_away():
+def test_new_leader_that_has_not_warmed_up_removes_no_server():
     gateway = follower()
     gateway.apply(news(reports=(report('i-1'), report('i-2'))))
     gateway.apply(news('e2', warm=False, reports=(report('i-1', 2),)))
     assert len(gateway.view.serving(ServiceName('s'))) == 2
 
 
-def test_complete_directory_drops_who_is_missing_after_asking_for_all():
+def test_complete_directory_removes_missing_servers():
     gateway = follower()
     gateway.apply(news(reports=(report('i-1'), report('i-2'))))
     gateway.apply(news('e2', warm=False, reports=(report('i-1', 2),)))
@@ -388,8 +390,8 @@
     assert gateway.epoch == 'e2'
 
 
-def test_directory_marks_a_server_under_the_number_that_the_gateway_has():
-    """Seen on the bench: a restarted gateway kept sending to a server that left."""
+def test_state_change_with_an_unchanged_sequence_is_applied():
+    """Otherwise a restarted gateway keeps sending to a server that has left."""
     gateway = follower()
     gateway.apply(news(reports=(report('i-1', 7),)))
     gateway.apply(news(upto=2, whole=False, reports=(report('i-1', 7, BackendState.draining),)))
@@ -397,7 +399,7 @@
 
 
 class RecordingClient:
-    """A leader that answers watches, and notes how long it was given."""
+    """A client whose host answers watches; records the calls with their time-outs."""
 
     def __init__(self, reply):
         self.reply = reply
@@ -406,14 +408,14 @@
     async def call(self, address, method, request, *, timeout_s):
         self.calls.append((address, request.epoch, request.since, timeout_s))
         if self.reply is None:
-            raise UnreachableError('no power')
+            raise UnreachableError('host is down')
         body = WatchReply(reply=self.reply)
         return Received(sender='c', address=address, group='g', revision=0, body=body)
 
 
-def test_host_without_power_does_not_hold_up_the_search_for_the_leader():
-    """Seen on the bench: after all hosts had lost their power, gateways waited
-    for those that were still down while another one led."""
+def test_unreachable_host_does_not_delay_the_search_for_the_leader():
+    """Otherwise, after a power failure of all hosts, gateways wait for those that are
+    still down while another one leads."""
 
     async def run():
         gateway = follower()
@@ -432,8 +434,8 @@
 @pytest.mark.parametrize(
     ('report_interval_s', 'silence_timeout_s'), [(1.2, 4.5), (0.4, 1.5), (4.0, 15.0)]
 )
-def test_server_is_silent_by_the_interval_of_its_reports(report_interval_s, silence_timeout_s):
-    """With a fixed time, servers that report each five seconds would come and go."""
+def test_silence_timeout_follows_the_report_interval(report_interval_s, silence_timeout_s):
+    """With a fixed time-out, servers that report every 5 s would be removed and added."""
     service = FollowService(
         node=Node(name='c', role='control', address='', secret=b''),
         submit=None,
--- a/tests/test_control/test_control_large_documents.py
+++ b/tests/test_control/test_control_large_documents.py
@@ -1,14 +1,12 @@
-"""Control under documents of routes that are large, or many.
-
-Seen: after a document had grown to 4,200 routes (784 kB), the leader of control ended,
-its memory over the limit, a change was in force late, and after a loss of all power no
-gateway got routes again. Gateways were sent the whole document with each answer to a
-watch; that was found and mended first (``test_following_documentfetch``). The same cause,
-work in proportion to whole documents that nothing bounds, stood in the log as well: its
-entries were counted, never their bytes. An entry is a whole document, so 160 changes of
-such a document fill a disk of 128 MB, and a follower that came back from a cut was sent
-all that it lacked in one message, again with every heartbeat until it answered. What
-proved it: these tests, and the bytes that a control host says it holds.
+"""Memory and disk use of control hosts with large or many documents.
+
+Guards against log entries that are limited by number but not by size: an entry holds a whole
+document, so 160 changes of a document of 784 kB (4,200 routes) fill a disk of 128 MB, and a
+follower that lags receives all missing entries in one message, again with each heartbeat
+until it answers. The leader then exceeds its memory limit, changes are in force late, and
+after a power failure of all hosts gateways get no routes. The same faults followed from
+sending gateways the whole document with each watch reply, which
+``test_following_documentfetch`` guards against.
 """
 
 from __future__ import annotations
@@ -21,18 +19,18 @@
 from tests.fakes import Network
 
 DOCUMENT_BYTES = 400_000
-#: Sixty documents are 24 MB.
+#: Number of documents committed: 24 MB in total.
 DOCUMENTS = 60
-#: What a control host may hold for them: a share of a disk of 128 MB that leaves
-#: room for a snapshot that is being written beside the log it replaces.
+#: Maximum size of the log of a control host: leaves room on a disk of 128 MB for a
+#: snapshot that is written while the log it replaces still exists.
 MAX_LOG_BYTES = 16_000_000
-#: What one message may carry beside a document: a follower holds it a few times over
-#: while it is read, in a process that may use 296 MB.
+#: Maximum payload of one message: a follower holds several copies of it while reading it,
+#: in a process limited to 296 MB.
 MAX_MESSAGE_BYTES = 2_000_000
 
 
 def commit_document(network, number, size=DOCUMENT_BYTES):
-    """Put a document in force through whoever leads."""
+    """Commit a document through the current leader."""
     command = PutDocument(number=number, document=bytes([number % 256]) * size)
     reply = None
 
@@ -57,7 +55,7 @@
         assert host.replica.state_machine.state.number == DOCUMENTS
 
 
-def test_restart_reads_what_was_left_of_a_log_of_large_documents():
+def test_restart_reads_a_compacted_log_of_large_documents():
     network = Network(snapshot_entries=5000)
     for number in range(1, DOCUMENTS + 1):
         commit_document(network, number)
@@ -68,7 +66,7 @@
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_follower_that_was_cut_off_is_sent_little_at_a_time(seed):
+def test_follower_that_was_isolated_is_sent_small_messages(seed):
     network = Network(snapshot_entries=5000, seed=seed)
     commit_document(network, 1)
     leader = network.await_leader()
@@ -86,14 +84,14 @@
     assert largest < MAX_MESSAGE_BYTES
 
 
-def test_follower_that_does_not_answer_is_not_sent_the_same_again():
-    """Heartbeats to a follower that is busy with what it lacks carry nothing more."""
+def test_follower_that_does_not_answer_is_not_sent_entries_again():
+    """Heartbeats to a follower that is still processing entries carry no entries."""
     network = Network(snapshot_entries=5000)
     for number in range(1, 9):
         commit_document(network, number)
     raft = network.await_leader().raft
     follower = next(disk for disk in raft.membership.voters if disk != raft.disk)
-    # As a leader that has just been elected, it knows nothing of the follower.
+    # A leader that has just been elected has no progress of the follower.
     raft.progress.pop(follower)
     raft.take_ready(network.clock.now())
     raft.step(follower, AppendReply(term=raft.term, accepted=False, match=2), network.clock.now())
--- a/tests/test_control/test_control_quarantining.py
+++ b/tests/test_control/test_control_quarantining.py
@@ -1,4 +1,4 @@
-"""What the leader does about contents that end servers, over changes of leader too."""
+"""Quarantine at the leader, also across changes of leader."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 class Host:
-    """A leader with a state machine of its own, on a paused clock."""
+    """A leader with its own state machine, on a paused clock."""
 
     def __init__(self, *, commits=True, machine=None):
         self.commits = commits
@@ -112,7 +112,7 @@
         )
 
     async def report_crashes(self, *servers, **fields):
-        """Report ends one after the other, and judge each."""
+        """Report crashes one after the other, and evaluate after each."""
         for server in servers:
             await self.quarantining.handle_crashes(received(crash_report(server, **fields)))
             self.clock.advance(2 * REPORT_SETTLE_S)
@@ -129,7 +129,7 @@
         return (await self.service.watch(received(request))).reply
 
 
-def test_verdict_reaches_a_gateway_that_waits_for_news():
+def test_verdict_reaches_a_waiting_watch():
     async def run():
         host = Host()
         first = await host.watch()
@@ -150,7 +150,7 @@
     asyncio.run(run())
 
 
-def test_gateway_that_knows_all_is_told_nothing_twice():
+def test_unchanged_quarantine_is_not_sent_again():
     async def run():
         host = Host()
         await host.report_crashes('a', 'b', 'c')
@@ -166,8 +166,8 @@
     asyncio.run(run())
 
 
-def test_planned_ends_blame_nobody():
-    """A rolling release stops one server after another while a content is under way."""
+def test_planned_ends_are_no_evidence():
+    """A rolling release stops one server after another while a content is in flight."""
 
     async def run():
         host = Host()
@@ -182,7 +182,7 @@
     asyncio.run(run())
 
 
-def test_server_that_goes_on_reporting_is_no_end():
+def test_server_that_keeps_reporting_has_not_crashed():
     async def run():
         host = Host()
         await host.report_crashes('a', 'b', 'c')
@@ -197,8 +197,8 @@
     asyncio.run(run())
 
 
-def test_late_reports_of_a_lifetime_that_a_later_one_has_replaced_show_no_life():
-    """Load: what a server sent before its end comes seconds after its new start."""
+def test_late_reports_of_a_replaced_lifetime_refute_no_crash():
+    """Reports that a server sent before its crash arrive seconds after its restart."""
 
     async def run():
         host = Host()
@@ -213,7 +213,7 @@
     asyncio.run(run())
 
 
-def test_leader_that_has_not_heard_all_servers_lifts_no_verdict():
+def test_leader_that_has_not_warmed_up_lifts_no_verdict():
     async def run():
         host = Host()
         await host.report_crashes('a', 'b', 'c')
@@ -225,7 +225,7 @@
     asyncio.run(run())
 
 
-def test_host_that_does_not_lead_sends_elsewhere():
+def test_host_that_does_not_lead_redirects():
     async def run():
         host = Host()
         host.service.update_leadership(FOLLOWING)
@@ -240,7 +240,7 @@
     asyncio.run(run())
 
 
-def test_verdict_outlives_the_leader_and_all_power():
+def test_verdict_outlives_the_leader_and_a_power_failure():
     async def run():
         host = Host()
         await host.report_crashes('a', 'b', 'c')
@@ -252,8 +252,9 @@
     asyncio.run(run())
 
 
-def test_next_leader_judges_by_evidence_that_is_sent_again():
-    """The leader that judged could record nothing: it had just lost its quorum."""
+def test_next_leader_evaluates_resent_evidence():
+    """The previous leader quarantined the content but had lost its quorum, so the verdict
+    wasn't recorded."""
 
     async def run():
         host = Host(commits=False)
@@ -270,7 +271,7 @@
     asyncio.run(run())
 
 
-def test_content_that_is_served_is_free_and_stays_free():
+def test_served_content_is_released_for_good():
     async def run():
         host = Host()
         await host.report_crashes('a', 'b', 'c')
@@ -284,7 +285,7 @@
     asyncio.run(run())
 
 
-def test_new_release_puts_a_verdict_to_the_test():
+def test_new_release_lifts_a_verdict_for_a_retest():
     async def run():
         host = Host()
         await host.report_crashes('a', 'b', 'c')
@@ -311,7 +312,7 @@
 
 
 def test_snapshot_without_verdicts_is_read():
-    """Snapshots that an earlier version wrote have no such field."""
+    """Snapshots of an earlier version lack the field."""
     earlier = msgspec.msgpack.encode({'version': 1, 'number': 7, 'document': b'd'})
     assert not StateMachine(snapshot=earlier).state.quarantined
 
@@ -328,15 +329,15 @@
 
 
 @pytest.mark.parametrize(('warm', 'held'), [(False, {'one', 'two'}), (True, {'two'})])
-def test_gateway_holds_to_verdicts_until_a_new_leader_has_heard_all(warm, held):
-    one = follower()
-    one.apply(news('e1', 'one'))
-    one.apply(news('e2', 'two', warm=warm))
-    assert set(one.quarantine.quarantined) == held
-
-
-def test_gateway_that_lost_its_leader_holds_to_the_verdicts():
-    one = follower()
-    one.apply(news('e1', 'one'))
-    one._mark_disconnected('c1', 'gone')
-    assert set(one.quarantine.quarantined) == {'one'}
+def test_gateway_keeps_verdicts_until_a_new_leader_has_warmed_up(warm, held):
+    gateway = follower()
+    gateway.apply(news('e1', 'one'))
+    gateway.apply(news('e2', 'two', warm=warm))
+    assert set(gateway.quarantine.quarantined) == held
+
+
+def test_gateway_that_lost_its_leader_keeps_the_verdicts():
+    gateway = follower()
+    gateway.apply(news('e1', 'one'))
+    gateway._mark_disconnected('c1', 'gone')
+    assert set(gateway.quarantine.quarantined) == {'one'}
--- a/tests/test_control/test_control_zonedraining.py
+++ b/tests/test_control/test_control_zonedraining.py
@@ -1,4 +1,4 @@
-"""Orders for availability zones: what is acknowledged outlives what may be lost."""
+"""Orders to drain availability zones: acknowledged ones outlive the tolerated losses."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 def order(network, zone, *, drained):
-    """Order until it is acknowledged, as an operator does."""
+    """Repeat an order until it is acknowledged, as an operator does."""
     reply = None
 
     def is_acknowledged():
@@ -47,7 +47,7 @@
     return network.await_leader().state_machine.state.zones.names
 
 
-def test_orders_that_change_nothing_count_as_none():
+def test_orders_that_change_nothing_get_no_change_number():
     machine = StateMachine()
     changes = [
         machine.apply(encode_command(DrainZone(zone=zone, drained=is_drained))).change
@@ -73,7 +73,7 @@
     assert again.watched_version == before
 
 
-def test_all_zones_at_once_and_taken_back_twice():
+def test_all_zones_are_drained_and_restored_twice():
     network = Network(count=3)
     network.await_leader()
     for zone in 'abcd':
@@ -86,8 +86,8 @@
 
 
 @pytest.mark.parametrize('seed', range(1, 6))
-def test_acknowledged_orders_outlive_kills_lost_disks_and_snapshots(seed):
-    """All lose power, then a disk, then another; the log is compacted in between."""
+def test_acknowledged_orders_outlive_restarts_lost_disks_and_snapshots(seed):
+    """All hosts restart, then two lose their disks in turn; the log is compacted before."""
     network = Network(count=5, seed=seed, snapshot_entries=5, target_voters=5)
     network.await_leader()
     order(network, 'a', drained=True)
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize('seed', range(1, 6))
-def test_order_of_a_leader_that_was_cut_off_takes_no_later_one_back(seed):
+def test_order_of_an_isolated_leader_does_not_revert_later_ones(seed):
     network = Network(count=3, seed=seed)
     isolated = network.await_leader().node.address
     network.isolate(isolated)
@@ -123,11 +123,11 @@
     assert drained(network) == ()
 
 
-# -- the leader and its gateways ---------------------------------------------
+# -- the leader and its gateways ----------------------------------------------
 
 
 class Leader:
-    """A follow service whose log commits at once, or not at all."""
+    """A control host whose log commits at once, or not at all."""
 
     def __init__(self, *, leadership=LEADING, commits=True):
         self.commits = commits
@@ -157,7 +157,7 @@
     return Received('g1', '1.1.1.1:1', '', 0, WatchRequest(gateway=gateway, **fields))
 
 
-def test_order_is_acknowledged_once_the_gateways_obey_it():
+def test_order_is_acknowledged_once_in_force_at_the_gateways():
     async def run():
         service = Leader().service
         first = (await service.watch(received())).reply
@@ -175,7 +175,7 @@
     asyncio.run(run())
 
 
-def test_order_without_a_quorum_or_a_whole_group_is_not_acknowledged():
+def test_order_without_a_quorum_or_a_complete_group_is_not_acknowledged():
     async def run():
         for leader, expected in (
             (Leader(commits=False), Redirect),
@@ -189,8 +189,8 @@
     asyncio.run(run())
 
 
-def test_follower_never_goes_back_to_older_orders():
-    """Load: a leader that was cut off tells what it held before."""
+def test_follower_ignores_older_orders():
+    """A leader that was isolated still sends the older state."""
 
     async def run():
         node = Node(name='g1', role='gateway', address='', secret=b'x', zone='a')
@@ -218,14 +218,14 @@
 
 
 class NoLeader:
-    """A client of control that finds no leader."""
+    """A control client that finds no leader."""
 
     async def ask_leader(self, method, message, *, timeout_s):
         raise UnreachableError('no leader')
 
 
 async def start_interface(leader, zones=frozenset({'a', 'hall b'})):
-    """Return a server of the open interface of a host, and its port."""
+    """Start the HTTP interface of a host; return its server and port."""
     interface = OpenInterface(
         node=leader.service.node,
         follow=leader.service,
@@ -239,9 +239,9 @@
     return server, await server.start('127.0.0.1', 0)
 
 
-async def send_request(leader, raw_request, **known):
-    """Return the status that a host answers some bytes with."""
-    server, port = await start_interface(leader, **known)
+async def send_request(leader, raw_request, **interface_options):
+    """Return the status with which a host answers a raw HTTP request."""
+    server, port = await start_interface(leader, **interface_options)
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     writer.write(raw_request.encode())
     raw = await reader.readuntil(b'\r\n')
@@ -272,19 +272,19 @@
     assert changed == int(status == 200 and line.startswith('POST'))
 
 
-def test_open_interface_that_knows_no_zones_takes_any():
+def test_open_interface_without_known_zones_accepts_any():
     raw_request = 'POST /api/evacuate/c HTTP/1.1\r\nHost: c\r\n\r\n'
     assert asyncio.run(send_request(Leader(), raw_request, zones=frozenset())) == 200
 
 
-def test_order_that_can_not_be_committed_may_come_again():
-    """A 4xx would end the operator's call."""
+def test_order_that_cannot_be_committed_is_answered_with_503():
+    """Operators retry after a 503; a 4xx would make them give up."""
     raw_request = 'POST /api/evacuate/a HTTP/1.1\r\nHost: c\r\n\r\n'
     assert asyncio.run(send_request(Leader(commits=False), raw_request)) == 503
 
 
-def test_order_whose_sender_has_given_up_is_dropped():
-    """Load: a host stands still; when it wakes, the order and its sender's leave are there."""
+def test_order_whose_sender_has_disconnected_is_dropped():
+    """After a stall of the host, the order and its sender's disconnect arrive together."""
 
     async def run():
         leader = Leader()
