--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -55,7 +55,7 @@
     Mutation(
         'orders for zones are acknowledged before gateways obey them',
         'ringseam/control/zonedraining.py',
-        'await follow.wait(lambda: self._is_confirmed(outcome.change), CONFIRM_TIMEOUT_S)',
+        'await follow_service.wait(lambda: self._is_confirmed(outcome.change), CONFIRM_TIMEOUT_S)',
         'await asyncio.sleep(0)',
         ORDERS,
     ),
--- a/ringseam/control/documentservice.py
+++ b/ringseam/control/documentservice.py
@@ -44,9 +44,9 @@
 class DocumentService:
     """Accept numbered documents, and serve the newest one."""
 
-    def __init__(self, *, follow: FollowService) -> None:
-        """Use the state, leadership and gateways of ``follow``."""
-        self.follow = follow
+    def __init__(self, *, follow_service: FollowService) -> None:
+        """Use the state, leadership and gateways of ``follow_service``."""
+        self.follow_service = follow_service
         self.history = DocumentHistory()
         #: Total size of submitted documents that aren't committed yet.
         self.pending_bytes = 0
@@ -60,52 +60,52 @@
     async def document_part(self, received: Received) -> PartReply:
         """Return a part of an accepted document; any control host that has it can.
 
-        Offsets count in the encoded change from the document that the gateway has, or
-        in the whole document if that change isn't available.
+        Offsets count in the encoded delta from the document that the gateway has, or in
+        the encoded whole document if that delta isn't available.
         """
         request: PartRequest = received.body
         base = request.held
-        change = self.history.change(base, request.number)
-        if change is None:
+        delta = self.history.change(base, request.number)
+        if delta is None:
             base = 0
-            change = self.history.change(base, request.number)
-        if change is None:
+            delta = self.history.change(base, request.number)
+        if delta is None:
             return PartReply(reply=PartLacking())
-        part = change[request.offset : request.offset + PART_BYTES]
-        return PartReply(reply=DocumentPart(held=base, total=len(change), part=part))
+        part = delta[request.offset : request.offset + PART_BYTES]
+        return PartReply(reply=DocumentPart(held=base, total=len(delta), part=part))
 
     async def submit_document(self, received: Received) -> DocumentReply:
-        """Accept a validated document, and answer once it is in force."""
+        """Accept a validated document forwarded by another control host."""
         return DocumentReply(reply=await self.accept(received.body))
 
     async def accept(self, submit: Submit) -> DocumentHeld | NotYet | Redirect:
         """Commit a document; return once the gateways confirm it or the wait times out."""
-        if not self.follow.leadership.can_serve:
-            return self.follow.redirect
-        if not self.follow.tolerates_losses:
+        if not self.follow_service.leadership.can_serve:
+            return self.follow_service.redirect
+        if not self.follow_service.tolerates_losses:
             return NotYet()
         size = len(submit.document)
         if self.pending_bytes and self.pending_bytes + size > _MAX_PENDING_BYTES:
             return NotYet()
-        started = self.follow.node.clock.now()
+        started = self.follow_service.node.clock.now()
         self.pending_bytes += size
         try:
             number = await self._commit(submit)
         finally:
             self.pending_bytes -= size
         if number is None:
-            return self.follow.redirect
-        await self.follow.wait(
-            lambda: self.follow.directory.is_confirmed(number=number), CONFIRM_TIMEOUT_S
+            return self.follow_service.redirect
+        await self.follow_service.wait(
+            lambda: self.follow_service.directory.is_confirmed(number=number), CONFIRM_TIMEOUT_S
         )
-        self.follow.node.events.emit(
+        self.follow_service.node.events.emit(
             logger,
             Event.document_accepted,
             number=submit.number,
             newest=number,
             document_bytes=size,
-            took_ms=round((self.follow.node.clock.now() - started) * MS_PER_S),
-            confirmed=self.follow.directory.is_confirmed(number=number),
+            took_ms=round((self.follow_service.node.clock.now() - started) * MS_PER_S),
+            confirmed=self.follow_service.directory.is_confirmed(number=number),
         )
         return DocumentHeld(number=number)
 
@@ -115,13 +115,15 @@
 
     async def read_newest(self) -> DocumentHeld | Redirect:
         """Return the newest document, after a quorum has confirmed the leader."""
-        if not self.follow.leadership.can_serve or isinstance(
-            await self.follow.confirm_leadership(), NotLeading
+        if not self.follow_service.leadership.can_serve or isinstance(
+            await self.follow_service.confirm_leadership(), NotLeading
         ):
-            return self.follow.redirect
+            return self.follow_service.redirect
         # Lets this loop run the state updates that the actor scheduled before the barrier.
         await asyncio.sleep(0)
-        return DocumentHeld(number=self.follow.state.number, document=self.follow.state.document)
+        return DocumentHeld(
+            number=self.follow_service.state.number, document=self.follow_service.state.document
+        )
 
     async def _commit(self, submit: Submit) -> int | None:
         """Return the newest number, at least the submitted one; None if not leading.
@@ -129,10 +131,10 @@
         A document that isn't newer than the accepted one changes nothing: it needs no
         log entry, only a quorum's confirmation that this replica leads.
         """
-        if submit.number <= self.follow.state.number:
-            confirmed = await self.follow.confirm_leadership()
-            return None if isinstance(confirmed, NotLeading) else self.follow.state.number
-        outcome = await self.follow.submit(
+        if submit.number <= self.follow_service.state.number:
+            confirmed = await self.follow_service.confirm_leadership()
+            return None if isinstance(confirmed, NotLeading) else self.follow_service.state.number
+        outcome = await self.follow_service.submit(
             PutDocument(number=submit.number, document=submit.document)
         )
         return outcome.newest if isinstance(outcome, DocumentPut) else None
--- a/ringseam/control/follow.py
+++ b/ringseam/control/follow.py
@@ -104,7 +104,7 @@
         self.retired = EndedLifetimes(capacity=MAX_RETIRED_BACKENDS)
         self.leadership = Leadership()
         self.directory = self._new_directory()
-        self.changed = asyncio.Event()
+        self.change_event = asyncio.Event()
         self.quarantining = QuarantineService(
             node=node,
             submit=submit,
@@ -112,8 +112,8 @@
             redirect=lambda: None if self.leadership.can_serve else self.redirect,
             is_planned=self._is_leaving,
         )
-        self.documents = DocumentService(follow=self)
-        self.zones = ZoneDrainService(follow=self)
+        self.documents = DocumentService(follow_service=self)
+        self.zones = ZoneDrainService(follow_service=self)
         #: Address to which backend servers should report, sent with each acknowledgement.
         self.report_to = ''
 
@@ -256,7 +256,7 @@
                 return
             try:
                 async with asyncio.timeout(remaining_s):
-                    await self.changed.wait()
+                    await self.change_event.wait()
             except asyncio.TimeoutError:
                 return
 
@@ -330,5 +330,5 @@
         )
 
     def _notify_watchers(self) -> None:
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.change_event.set()
+        self.change_event = asyncio.Event()
--- a/ringseam/control/openinterface.py
+++ b/ringseam/control/openinterface.py
@@ -83,7 +83,7 @@
         self,
         *,
         node: Node,
-        follow: FollowService,
+        follow_service: FollowService,
         leader_client: ControlClient,
         peer_addresses: Callable[[], list[str]],
         metrics: Metrics,
@@ -97,7 +97,7 @@
         :param zones: all availability zones; empty if unknown.
         """
         self.node = node
-        self.follow = follow
+        self.follow_service = follow_service
         self.leader_client = leader_client
         self.peer_addresses = peer_addresses
         self.metrics = metrics
@@ -145,7 +145,7 @@
             return
         timeout_s = _REPORT_TIMEOUT_S if report.state is BackendState.ready else _LEAVE_TIMEOUT_S
         reply = await self._call_leader(
-            REPORT_BACKEND, report, self.follow.accept_report, timeout_s
+            REPORT_BACKEND, report, self.follow_service.accept_report, timeout_s
         )
         if isinstance(reply, ReportTaken):
             await exchange.respond(_OK, [_JSON], encode_accepted(reply.report_to))
@@ -188,7 +188,7 @@
             return
         submit = Submit(number=manifest.number, document=document)
         reply = await self._call_leader(
-            SUBMIT, submit, self.follow.documents.accept, _SUBMIT_TIMEOUT_S
+            SUBMIT, submit, self.follow_service.documents.accept, _SUBMIT_TIMEOUT_S
         )
         if isinstance(reply, DocumentHeld):
             await exchange.respond(_OK, [_JSON], json_body({}))
@@ -199,7 +199,7 @@
         reply = await self._call_leader(
             READ_DOCUMENT,
             Empty(),
-            lambda _: self.follow.documents.read_newest(),
+            lambda _: self.follow_service.documents.read_newest(),
             _READ_TIMEOUT_S,
         )
         if isinstance(reply, DocumentHeld) and reply.number:
@@ -224,7 +224,7 @@
         # This task is cancelled if the connection closes during the delay.
         await asyncio.sleep(_DISCONNECT_GRACE_S)
         reply = await self._call_leader(
-            ORDER_ZONE, order, self.follow.zones.order, _ORDER_TIMEOUT_S
+            ORDER_ZONE, order, self.follow_service.zones.order, _ORDER_TIMEOUT_S
         )
         status = _OK if isinstance(reply, DrainedZones) else _UNAVAILABLE
         await exchange.respond(status, [_JSON], json_body({}))
--- a/ringseam/control/role.py
+++ b/ringseam/control/role.py
@@ -111,7 +111,7 @@
             was_accepted=self._was_accepted,
             commit=self._commit,
         )
-        self.follow = FollowService(
+        self.follow_service = FollowService(
             node=self.node,
             submit=self._commit,
             confirm_leadership=lambda: self._ask_replica(ReadBarrier()),
@@ -144,10 +144,10 @@
                 quarantined=dict(machine.state.quarantined),
                 zones=machine.state.zones,
             )
-            loop.call_soon_threadsafe(self.follow.update_state, followed)
+            loop.call_soon_threadsafe(self.follow_service.update_state, followed)
 
         def leadership_changed(leadership: Leadership) -> None:  # noqa: WPS430
-            loop.call_soon_threadsafe(self.follow.update_leadership, leadership)
+            loop.call_soon_threadsafe(self.follow_service.update_leadership, leadership)
 
         def failed(detail: str) -> None:  # noqa: WPS430
             loop.call_soon_threadsafe(self._fail, detail)
@@ -249,7 +249,7 @@
             request.epoch,
             request.since,
             self.node.clock.now(),
-            zones=self.follow.state.zones,
+            zones=self.follow_service.state.zones,
         )
 
     async def lease(self, received: Received) -> LeaseReply:
@@ -302,7 +302,7 @@
         self.server.add(DELTA, self.delta)
         self.server.add(STATUS, self.status)
         self.server.add(LEASE, self.lease)
-        self.follow.serve(self.server)
+        self.follow_service.serve(self.server)
 
     # -- helpers ------------------------------------------------------------
 
@@ -321,7 +321,7 @@
         document_bytes = self.settings.own['document_bytes']
         interface = OpenInterface(
             node=self.node,
-            follow=self.follow,
+            follow_service=self.follow_service,
             leader_client=leader_client,
             peer_addresses=self.discovery.peer_addresses,
             metrics=self.metrics,
@@ -332,8 +332,8 @@
         web = HttpServer(handler=interface.handle, limits=limits)
         await web.start(*split_address(self.settings.own['http']))
         self.stack.push_async_callback(web.close)
-        self.spawn(self.follow.run_expiry())
-        self.spawn(self.follow.quarantining.run_evaluation())
+        self.spawn(self.follow_service.run_expiry())
+        self.spawn(self.follow_service.quarantining.run_evaluation())
         await self.open_metrics(self.metrics)
 
     # -- background tasks ---------------------------------------------------
--- a/ringseam/control/zonedraining.py
+++ b/ringseam/control/zonedraining.py
@@ -27,9 +27,9 @@
 class ZoneDrainService:
     """Commit orders, and acknowledge them once they are in force at the gateways."""
 
-    def __init__(self, *, follow: FollowService) -> None:
-        """Use the state, leadership and gateways of ``follow``."""
-        self.follow = follow
+    def __init__(self, *, follow_service: FollowService) -> None:
+        """Use the state, leadership and gateways of ``follow_service``."""
+        self.follow_service = follow_service
 
     def serve(self, server: CallServer) -> None:
         """Register the methods that other control hosts and the command line call."""
@@ -51,37 +51,40 @@
         order that changes nothing is committed too: only the log shows that no other
         order came in between.
         """
-        follow = self.follow
-        if not follow.leadership.can_serve:
-            return follow.redirect
-        if not follow.tolerates_losses:
+        follow_service = self.follow_service
+        if not follow_service.leadership.can_serve:
+            return follow_service.redirect
+        if not follow_service.tolerates_losses:
             return NotYet()
-        started = follow.node.clock.now()
-        outcome = await follow.submit(DrainZone(zone=order.zone, drained=order.drained))
+        started = follow_service.node.clock.now()
+        outcome = await follow_service.submit(DrainZone(zone=order.zone, drained=order.drained))
         if not isinstance(outcome, ZoneDrained):
-            return follow.redirect
-        await follow.wait(lambda: self._is_confirmed(outcome.change), CONFIRM_TIMEOUT_S)
-        follow.node.events.emit(
+            return follow_service.redirect
+        await follow_service.wait(lambda: self._is_confirmed(outcome.change), CONFIRM_TIMEOUT_S)
+        follow_service.node.events.emit(
             logger,
             Event.zone_drained if order.drained else Event.zone_restored,
             zone=order.zone,
             change=outcome.change,
-            took_ms=round((follow.node.clock.now() - started) * MS_PER_S),
+            took_ms=round((follow_service.node.clock.now() - started) * MS_PER_S),
             confirmed=self._is_confirmed(outcome.change),
         )
-        return follow.state.zones
+        return follow_service.state.zones
 
     async def read(self) -> DrainedZones | Redirect:
         """Return the drained zones, after a quorum has confirmed the leader."""
-        follow = self.follow
-        if not follow.leadership.can_serve or isinstance(
-            await follow.confirm_leadership(), NotLeading
+        follow_service = self.follow_service
+        if not follow_service.leadership.can_serve or isinstance(
+            await follow_service.confirm_leadership(), NotLeading
         ):
-            return follow.redirect
+            return follow_service.redirect
         # Lets this loop run the state updates that the actor scheduled before the barrier.
         await asyncio.sleep(0)
-        return follow.state.zones
+        return follow_service.state.zones
 
     def _is_confirmed(self, change: int) -> bool:
-        follow = self.follow
-        return follow.state.zones.change >= change and follow.directory.is_confirmed(zones=change)
+        follow_service = self.follow_service
+        return (
+            follow_service.state.zones.change >= change
+            and follow_service.directory.is_confirmed(zones=change)
+        )
--- a/tests/test_control/test_control_follow.py
+++ b/tests/test_control/test_control_follow.py
@@ -69,7 +69,7 @@
     assert first.whole
     directory.report(report('i-2'), 1)
     later = directory.delta(request(epoch='e1', since=first.upto), 1)
-    assert [entry.instance for entry in later.reports] == ['i-2']
+    assert [server.instance for server in later.reports] == ['i-2']
     assert not later.whole
 
 
@@ -227,7 +227,7 @@
     upto = directory.change
     assert directory.report(report('i-1#8', sequence=1), 1)
     update = directory.delta(request(epoch='e1', since=upto), 1)
-    assert [entry.instance for entry in update.reports] == ['i-1#8']
+    assert [server.instance for server in update.reports] == ['i-1#8']
     assert update.silent == ('i-1#5',)
 
 
@@ -324,8 +324,8 @@
         service = host.service
         await service.accept_report(report())
         first = await service.watch(received(request(number=0)))
-        news: WatchNews = first.reply
-        held = request(epoch=news.epoch, since=news.upto, number=0)
+        first_update: WatchNews = first.reply
+        held = request(epoch=first_update.epoch, since=first_update.upto, number=0)
         service.directory.record_watch(held, service.node.clock.now())
         leave = asyncio.ensure_future(
             service.accept_report(report(sequence=2, state=BackendState.draining)),
@@ -349,8 +349,8 @@
         host.service.update_leadership(Leadership(term=4, leader='c2'))
         host.service.update_leadership(Leadership(term=5, leader='c1', can_serve=True, voters=5))
         await host.service.accept_report(report(sequence=4))
-        news = host.service.directory.delta(request(), 0)
-        assert [entry.state for entry in news.reports] == [BackendState.draining]
+        update = host.service.directory.delta(request(), 0)
+        assert [server.state for server in update.reports] == [BackendState.draining]
 
     asyncio.run(run())
 
@@ -368,33 +368,35 @@
     )
 
 
-def news(epoch='e1', upto=1, *, whole=True, warm=True, reports=(), silent=()):
+def watch_update(epoch='e1', upto=1, *, whole=True, warm=True, reports=(), silent=()):
     return WatchNews(epoch=epoch, upto=upto, whole=whole, warm=warm, reports=reports, silent=silent)
 
 
 def test_new_leader_that_has_not_warmed_up_removes_no_server():
     gateway = follower()
-    gateway.apply(news(reports=(report('i-1'), report('i-2'))))
-    gateway.apply(news('e2', warm=False, reports=(report('i-1', 2),)))
+    gateway.apply(watch_update(reports=(report('i-1'), report('i-2'))))
+    gateway.apply(watch_update('e2', warm=False, reports=(report('i-1', 2),)))
     assert len(gateway.view.serving(ServiceName('s'))) == 2
 
 
 def test_complete_directory_removes_missing_servers():
     gateway = follower()
-    gateway.apply(news(reports=(report('i-1'), report('i-2'))))
-    gateway.apply(news('e2', warm=False, reports=(report('i-1', 2),)))
-    gateway.apply(news('e2', upto=2, whole=False))
+    gateway.apply(watch_update(reports=(report('i-1'), report('i-2'))))
+    gateway.apply(watch_update('e2', warm=False, reports=(report('i-1', 2),)))
+    gateway.apply(watch_update('e2', upto=2, whole=False))
     assert gateway.epoch == ''
-    gateway.apply(news('e2', upto=2, reports=(report('i-1', 2),)))
-    assert [entry.instance for entry in gateway.view.serving(ServiceName('s'))] == ['i-1']
+    gateway.apply(watch_update('e2', upto=2, reports=(report('i-1', 2),)))
+    assert [server.instance for server in gateway.view.serving(ServiceName('s'))] == ['i-1']
     assert gateway.epoch == 'e2'
 
 
 def test_state_change_with_an_unchanged_sequence_is_applied():
     """Otherwise a restarted gateway keeps sending to a server that has left."""
     gateway = follower()
-    gateway.apply(news(reports=(report('i-1', 7),)))
-    gateway.apply(news(upto=2, whole=False, reports=(report('i-1', 7, BackendState.draining),)))
+    gateway.apply(watch_update(reports=(report('i-1', 7),)))
+    gateway.apply(
+        watch_update(upto=2, whole=False, reports=(report('i-1', 7, BackendState.draining),))
+    )
     assert gateway.view.serving(ServiceName('s')) == []
 
 
@@ -421,7 +423,7 @@
         gateway = follower()
         gateway.client = RecordingClient(None)
         assert not await gateway._watch('down')
-        gateway.client = RecordingClient(news(upto=3))
+        gateway.client = RecordingClient(watch_update(upto=3))
         assert await gateway._watch('c1')
         assert await gateway._watch('c1')
         searched, followed = gateway.client.calls
--- a/tests/test_control/test_control_quarantining.py
+++ b/tests/test_control/test_control_quarantining.py
@@ -138,14 +138,14 @@
         await host.report_crashes('a')
         assert not waiting.done()
         await host.report_crashes('b')
-        news = await asyncio.wait_for(waiting, 0.5)
-        assert news.quarantine.suspects == (CRASHING_CONTENT,)
-        held |= {'since': news.upto, 'quarantine': news.quarantine.version}
+        update = await asyncio.wait_for(waiting, 0.5)
+        assert update.quarantine.suspects == (CRASHING_CONTENT,)
+        held |= {'since': update.upto, 'quarantine': update.quarantine.version}
         waiting = asyncio.create_task(host.watch(**held))
         await asyncio.sleep(0)
         await host.report_crashes('c')
-        news = await asyncio.wait_for(waiting, 0.5)
-        assert list(news.quarantine.quarantined) == [CRASHING_CONTENT]
+        update = await asyncio.wait_for(waiting, 0.5)
+        assert list(update.quarantine.quarantined) == [CRASHING_CONTENT]
 
     asyncio.run(run())
 
@@ -323,7 +323,7 @@
     return Follower(node=node, client=client, addresses=(), on_change=lambda: None)
 
 
-def news(epoch, *contents, warm=True, version=2):
+def watch_update(epoch, *contents, warm=True, version=2):
     held = QuarantineSnapshot(version=version, quarantined=dict.fromkeys(contents, 0))
     return WatchNews(epoch=epoch, upto=1, whole=True, warm=warm, quarantine=held)
 
@@ -331,13 +331,13 @@
 @pytest.mark.parametrize(('warm', 'held'), [(False, {'one', 'two'}), (True, {'two'})])
 def test_gateway_keeps_verdicts_until_a_new_leader_has_warmed_up(warm, held):
     gateway = follower()
-    gateway.apply(news('e1', 'one'))
-    gateway.apply(news('e2', 'two', warm=warm))
+    gateway.apply(watch_update('e1', 'one'))
+    gateway.apply(watch_update('e2', 'two', warm=warm))
     assert set(gateway.quarantine.quarantined) == held
 
 
 def test_gateway_that_lost_its_leader_keeps_the_verdicts():
     gateway = follower()
-    gateway.apply(news('e1', 'one'))
+    gateway.apply(watch_update('e1', 'one'))
     gateway._mark_disconnected('c1', 'gone')
     assert set(gateway.quarantine.quarantined) == {'one'}
--- a/tests/test_control/test_control_zonedraining.py
+++ b/tests/test_control/test_control_zonedraining.py
@@ -27,7 +27,7 @@
 RESTORE = ZoneOrder(zone='a', drained=False)
 
 
-def order(network, zone, *, drained):
+def submit_order(network, zone, *, drained):
     """Repeat an order until it is acknowledged, as an operator does."""
     reply = None
 
@@ -43,7 +43,7 @@
     return reply.sent.change
 
 
-def drained(network):
+def drained_zones(network):
     return network.await_leader().state_machine.state.zones.names
 
 
@@ -77,12 +77,12 @@
     network = Network(count=3)
     network.await_leader()
     for zone in 'abcd':
-        order(network, zone, drained=True)
-    assert drained(network) == ('a', 'b', 'c', 'd')
+        submit_order(network, zone, drained=True)
+    assert drained_zones(network) == ('a', 'b', 'c', 'd')
     for zone in 'dacb':
-        order(network, zone, drained=False)
-        order(network, zone, drained=False)
-    assert drained(network) == ()
+        submit_order(network, zone, drained=False)
+        submit_order(network, zone, drained=False)
+    assert drained_zones(network) == ()
 
 
 @pytest.mark.parametrize('seed', range(1, 6))
@@ -90,17 +90,17 @@
     """All hosts restart, then two lose their disks in turn; the log is compacted before."""
     network = Network(count=5, seed=seed, snapshot_entries=5, target_voters=5)
     network.await_leader()
-    order(network, 'a', drained=True)
-    order(network, 'b', drained=True)
+    submit_order(network, 'a', drained=True)
+    submit_order(network, 'b', drained=True)
     network.apply_many(12)
-    order(network, 'a', drained=False)
+    submit_order(network, 'a', drained=False)
     for address in list(network.hosts):
         network.restart(address)
-    assert drained(network) == ('b',)
+    assert drained_zones(network) == ('b',)
     for address in sorted(network.hosts)[:2]:
         network.lose_disk(address)
         network.run(12)
-        assert drained(network) == ('b',)
+        assert drained_zones(network) == ('b',)
     network.run(5)
     held = {replica.state_machine.state.zones.names for replica in network.running()}
     assert held == {('b',)}
@@ -115,18 +115,18 @@
         network.hosts[isolated].replica, Propose(command=DrainZone(zone='a', drained=True))
     )
     network.run(3)
-    order(network, 'a', drained=True)
-    order(network, 'a', drained=False)
+    submit_order(network, 'a', drained=True)
+    submit_order(network, 'a', drained=False)
     network.cuts.clear()
     network.run(5)
     assert not isinstance(unconfirmed.sent, ZoneDrained)
-    assert drained(network) == ()
+    assert drained_zones(network) == ()
 
 
 # -- the leader and its gateways ----------------------------------------------
 
 
-class Leader:
+class Host:
     """A control host whose log commits at once, or not at all."""
 
     def __init__(self, *, leadership=LEADING, commits=True):
@@ -159,17 +159,17 @@
 
 def test_order_is_acknowledged_once_in_force_at_the_gateways():
     async def run():
-        service = Leader().service
+        service = Host().service
         first = (await service.watch(received())).reply
         held = {'epoch': first.epoch, 'since': first.upto}
         watching = asyncio.ensure_future(service.watch(received(**held)))
         await asyncio.sleep(0.01)
         ordering = asyncio.ensure_future(service.zones.order(DRAIN))
-        news = (await watching).reply
-        assert news.zones == DrainedZones(change=1, names=('a',))
+        update = (await watching).reply
+        assert update.zones == DrainedZones(change=1, names=('a',))
         assert not ordering.done()
         watching = asyncio.ensure_future(service.watch(received(zones=1, **held)))
-        assert await ordering == news.zones
+        assert await ordering == update.zones
         watching.cancel()
 
     asyncio.run(run())
@@ -177,14 +177,14 @@
 
 def test_order_without_a_quorum_or_a_complete_group_is_not_acknowledged():
     async def run():
-        for leader, expected in (
-            (Leader(commits=False), Redirect),
-            (Leader(leadership=Leadership(term=3, leader='c2')), Redirect),
-            (Leader(leadership=Leadership(term=3, leader='c1', can_serve=True, voters=4)), NotYet),
+        for host, expected in (
+            (Host(commits=False), Redirect),
+            (Host(leadership=Leadership(term=3, leader='c2')), Redirect),
+            (Host(leadership=Leadership(term=3, leader='c1', can_serve=True, voters=4)), NotYet),
         ):
-            assert isinstance(await leader.service.zones.order(DRAIN), expected)
-            assert leader.state_machine.state.zones == DrainedZones()
-        assert isinstance(await Leader(commits=False).service.zones.read(), Redirect)
+            assert isinstance(await host.service.zones.order(DRAIN), expected)
+            assert host.state_machine.state.zones == DrainedZones()
+        assert isinstance(await Host(commits=False).service.zones.read(), Redirect)
 
     asyncio.run(run())
 
@@ -200,15 +200,15 @@
             addresses=('c1',),
             on_change=lambda: None,
         )
-        leader = Leader()
-        news = (await leader.service.watch(received())).reply
-        await leader.service.zones.order(DRAIN)
-        newer = (await leader.service.watch(received())).reply
-        for update in (news, newer, news):
-            follower.apply(update)
+        host = Host()
+        update = (await host.service.watch(received())).reply
+        await host.service.zones.order(DRAIN)
+        newer = (await host.service.watch(received())).reply
+        for received_update in (update, newer, update):
+            follower.apply(received_update)
         assert follower.view.drained.names == ('a',)
-        await leader.service.zones.order(RESTORE)
-        follower.apply((await leader.service.watch(received())).reply)
+        await host.service.zones.order(RESTORE)
+        follower.apply((await host.service.watch(received())).reply)
         assert follower.view.drained.names == ()
 
     asyncio.run(run())
@@ -224,11 +224,11 @@
         raise UnreachableError('no leader')
 
 
-async def start_interface(leader, zones=frozenset({'a', 'hall b'})):
+async def start_interface(host, zones=frozenset({'a', 'hall b'})):
     """Start the HTTP interface of a host; return its server and port."""
     interface = OpenInterface(
-        node=leader.service.node,
-        follow=leader.service,
+        node=host.service.node,
+        follow_service=host.service,
         leader_client=NoLeader(),
         peer_addresses=list,
         metrics=Metrics(),
@@ -239,9 +239,9 @@
     return server, await server.start('127.0.0.1', 0)
 
 
-async def send_request(leader, raw_request, **interface_options):
+async def send_request(host, raw_request, **interface_options):
     """Return the status with which a host answers a raw HTTP request."""
-    server, port = await start_interface(leader, **interface_options)
+    server, port = await start_interface(host, **interface_options)
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     writer.write(raw_request.encode())
     raw = await reader.readuntil(b'\r\n')
@@ -265,35 +265,35 @@
     ],
 )
 def test_open_interface_answers_orders(line, body, status):
-    leader = Leader()
+    host = Host()
     raw_request = f'{line} HTTP/1.1\r\nHost: c\r\nContent-Length: {len(body)}\r\n\r\n{body}'
-    assert asyncio.run(send_request(leader, raw_request)) == status
-    changed = leader.state_machine.state.zones.change
+    assert asyncio.run(send_request(host, raw_request)) == status
+    changed = host.state_machine.state.zones.change
     assert changed == int(status == 200 and line.startswith('POST'))
 
 
 def test_open_interface_without_known_zones_accepts_any():
     raw_request = 'POST /api/evacuate/c HTTP/1.1\r\nHost: c\r\n\r\n'
-    assert asyncio.run(send_request(Leader(), raw_request, zones=frozenset())) == 200
+    assert asyncio.run(send_request(Host(), raw_request, zones=frozenset())) == 200
 
 
 def test_order_that_cannot_be_committed_is_answered_with_503():
     """Operators retry after a 503; a 4xx would make them give up."""
     raw_request = 'POST /api/evacuate/a HTTP/1.1\r\nHost: c\r\n\r\n'
-    assert asyncio.run(send_request(Leader(commits=False), raw_request)) == 503
+    assert asyncio.run(send_request(Host(commits=False), raw_request)) == 503
 
 
 def test_order_whose_sender_has_disconnected_is_dropped():
     """After a stall of the host, the order and its sender's disconnect arrive together."""
 
     async def run():
-        leader = Leader()
-        server, port = await start_interface(leader)
+        host = Host()
+        server, port = await start_interface(host)
         _, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(b'POST /api/evacuate/a HTTP/1.1\r\nHost: c\r\n\r\n')
         writer.close()
         await asyncio.sleep(0.1)
         await server.close()
-        return leader.state_machine.state.zones.change
+        return host.state_machine.state.zones.change
 
     assert asyncio.run(run()) == 0
--- a/tests/test_system/test_system_suspended.py
+++ b/tests/test_system/test_system_suspended.py
@@ -106,7 +106,7 @@
 def test_control_forgets_servers_that_were_silent_over_a_suspension(tmp_path, suspension):
     async def known():
         role = planned(tmp_path, 'control')
-        directory = role.follow.directory
+        directory = role.follow_service.directory
         report = BackendReport(
             instance=BackendId('i-1'),
             service=ServiceName('signals'),
