--- a/bench/deciders.py
+++ b/bench/deciders.py
@@ -87,8 +87,8 @@
             batch=_BATCH,
             call_s=_CALL_S / 2,
             piece_s=_CALL_S / 2 / _BATCH,
-            room_bytes=10**9,
-            keep_s=4,
+            result_capacity_bytes=10**9,
+            result_retention_s=4,
         )
         follower: Any = Follower(
             spec, self.gateways, math.ceil(self.gateways * _SERVERS_PER_GATEWAY / self.load)
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -17,7 +17,7 @@
 import typer
 
 from bench.stageaccount import lines_of
-from ringseam.plots import Column, column_plot
+from ringseam.plots import ChartBar, bar_chart
 
 #: Answers whose stages took this share of their time and more are late by them.
 _STAGES_SHARE = 0.7
@@ -52,13 +52,13 @@
     """Return the whole page."""
     causes = collections.Counter(loss.cause for loss in losses)
     plots = [
-        column_plot('Share of worth lost, by kind of request', _missing(report['classes'])),
-        column_plot('Share of worth lost, by zone of clients', _missing(report['zones'])),
-        column_plot('Share of worth lost, by second of sending', _missing(report['windows'])),
-        column_plot('Prices, shares of the day', _prices(report['prices'])),
-        column_plot(
+        bar_chart('Share of worth lost, by kind of request', _missing(report['classes'])),
+        bar_chart('Share of worth lost, by zone of clients', _missing(report['zones'])),
+        bar_chart('Share of worth lost, by second of sending', _missing(report['windows'])),
+        bar_chart('Prices, shares of the day', _prices(report['prices'])),
+        bar_chart(
             'Requests by cause, from the log',
-            [Column(name=cause, height=count) for cause, count in causes.most_common(20)],
+            [ChartBar(name=cause, value=count) for cause, count in causes.most_common(20)],
         ),
     ]
     troubles = ''.join(f'<li>{html.escape(_trouble(event))}</li>' for event in report['events'])
@@ -90,13 +90,13 @@
     return ' '.join(words)
 
 
-def _missing(rows: list[dict[str, Any]]) -> list[Column]:
-    return [Column(name=row['name'], height=1 - row['worth']) for row in rows]
+def _missing(rows: list[dict[str, Any]]) -> list[ChartBar]:
+    return [ChartBar(name=row['name'], value=1 - row['worth']) for row in rows]
 
 
-def _prices(prices: list[list[Any]]) -> list[Column]:
-    known = [Column(name=name, height=price) for name, _, price in prices if price > 0]
-    return sorted(known, key=lambda column: -column.height)
+def _prices(prices: list[list[Any]]) -> list[ChartBar]:
+    known = [ChartBar(name=name, value=price) for name, _, price in prices if price > 0]
+    return sorted(known, key=lambda chart_bar: -chart_bar.value)
 
 
 def _trouble(event: dict[str, Any]) -> str:
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from ringseam.cmd.inspect import add_page
-from ringseam.layout import Layout, digest_of, free_address
+from ringseam.layout import Layout, free_address, token_digest
 from ringseam.load import LoadPlan, LoadRun, Mix
 from tests.processes import System
 
@@ -42,16 +42,16 @@
 FILE = f"""\
 [part]
 name = demo
-operator_token_sha256 = {digest_of('operator-of-demo')}
+operator_token_sha256 = {token_digest('operator-of-demo')}
 
 [account small]
-token_sha256 = {digest_of('small')}
+token_sha256 = {token_digest('small')}
 
 [account large]
-token_sha256 = {digest_of('large')}
+token_sha256 = {token_digest('large')}
 
 [account floor]
-token_sha256 = {digest_of('floor')}
+token_sha256 = {token_digest('floor')}
 
 [pool readers]
 max_in_flight = 2
@@ -253,7 +253,7 @@
             faulting = threading.Thread(target=fault, args=(system, ending))
             faulting.start()
             plan = LoadPlan(
-                entries=tuple(system.layout.planned[entry].http for entry in ENTRIES),
+                entries=tuple(system.layout.processes[entry].http for entry in ENTRIES),
                 seconds=seconds,
                 seed=seed,
                 threads=400,
@@ -282,9 +282,9 @@
             key: kept.latency.get_value_at_percentile(99) / 1000 for key, kept in outcomes.items()
         },
         'outcomes': {key: dict(kept.outcomes) for key, kept in outcomes.items()},
-        'mixed_up': sum(kept.mixed_up for kept in outcomes.values()),
+        'mixed_up': sum(kept.mismatched for kept in outcomes.values()),
         'whole_in_time_per_s': round(
-            sum(kept.in_time for key, kept in outcomes.items() if key != 'signal') / seconds, 1
+            sum(kept.on_time for key, kept in outcomes.items() if key != 'signal') / seconds, 1
         ),
         'tries_per_stage': round(tries / wanted, 3) if name != 'entries restarted' else None,
         'wasted_share': round(1 - server_s.get('useful', 0) / spent, 4) if spent else 0,
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -111,7 +111,7 @@
         sizes.append((count, len(msgspec.msgpack.encode(accepted))))
         began = cpu()
         for _ in range(5):
-            Configuration().advanced(1, [accepted])
+            Configuration().updated(1, [accepted])
         parses.append((count, (cpu() - began) / 5 * 1e3))
     show('configuration pull', sizes, 'bytes an account of the part')
     show('configuration parse', parses, 'ms an account of the part')
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -295,7 +295,7 @@
         self.gateways = GATEWAYS
 
     def http_of(self, name):
-        return self.system.layout.planned[name].http
+        return self.system.layout.processes[name].http
 
     def address(self, name):
         host, _, port = self.http_of(name).rpartition(':')
--- a/bench/speed.py
+++ b/bench/speed.py
@@ -43,7 +43,7 @@
 
 def send(system, count, callers):
     """Send ``count`` requests; return durations of whole answers, and why others failed."""
-    url = f'http://{system.layout.planned["entry"].http}/v1/pipelines/two'
+    url = f'http://{system.layout.processes["entry"].http}/v1/pipelines/two'
     connections = urllib3.PoolManager(maxsize=callers, retries=False)
     numbers = iter(range(count))
     lock = threading.Lock()
--- a/ringseam/config.py
+++ b/ringseam/config.py
@@ -169,7 +169,7 @@
     return part
 
 
-def wrong_part(path: str, named: str, applied: str) -> Finding:
+def part_mismatch(path: str, named: str, applied: str) -> Finding:
     """Return the finding on a file that names another part than applied."""
     return Finding(
         path=path,
@@ -198,73 +198,75 @@
     def read(self) -> PartFile:
         """Read all sections, then tie them together by name."""
         for section in self.document.parser.sections():
-            self._section(section)
+            self._read_section(section)
         if '' not in self.sections['part']:
             self.document.report('part', '', 'missing; a file names its part')
         part = self.sections['part'].get('', {'name': '', 'operator_token_sha256': ''})
-        self._digest('part', 'operator_token_sha256', part['operator_token_sha256'])
+        self._check_digest('part', 'operator_token_sha256', part['operator_token_sha256'])
         name = part['name'] or ''
         if '/' in name:
             self.document.report('part', 'name', 'a part has no "/" in its name')
-        read = PartFile(name=name, operator_token_sha256=part['operator_token_sha256'] or '')
-        self._simple(read)
-        self._stages(read)
-        self._pipelines(read)
-        return read
+        part_file = PartFile(name=name, operator_token_sha256=part['operator_token_sha256'] or '')
+        self._read_accounts_pools_and_grants(part_file)
+        self._read_stages(part_file)
+        self._read_pipelines(part_file)
+        return part_file
 
-    def _section(self, section: str) -> None:
+    def _read_section(self, section: str) -> None:
         kind, _, name = section.partition(' ')
         if kind not in SECTIONS:
             hint = nearest(kind, list(SECTIONS))
             self.document.report(section, '', f'unknown section{hint}')
             return
         if (kind == 'part') == bool(name):
-            shape = '[part]' if kind == 'part' else f'[{kind} NAME]'
-            self.document.report(section, '', f'is written {shape}')
+            expected = '[part]' if kind == 'part' else f'[{kind} NAME]'
+            self.document.report(section, '', f'is written {expected}')
         self.sections[kind][name.strip()] = self.document.read(section, SECTIONS[kind])
 
-    def _digest(self, section: str, key: str, text: str | None) -> None:
+    def _check_digest(self, section: str, key: str, text: str | None) -> None:
         if text and not _DIGEST.match(text):
             self.document.report(section, key, 'is not a SHA-256 in 64 hexadecimal digits')
 
-    def _simple(self, part: PartFile) -> None:
+    def _read_accounts_pools_and_grants(self, part: PartFile) -> None:
         for name, keys in self.sections['account'].items():
-            self._digest(f'account {name}', 'token_sha256', keys['token_sha256'])
-            full = qualified(part.name, name)
-            part.accounts[full] = Account(name=full, **keys)
+            self._check_digest(f'account {name}', 'token_sha256', keys['token_sha256'])
+            full_name = qualified(part.name, name)
+            part.accounts[full_name] = Account(name=full_name, **keys)
         for name, keys in self.sections['pool'].items():
-            full = qualified(part.name, name)
-            part.pools[full] = Pool(name=full, **keys)
+            full_name = qualified(part.name, name)
+            part.pools[full_name] = Pool(name=full_name, **keys)
         for name, keys in self.sections['grant'].items():
             part.grants[name] = tuple(qualified(part.name, pool) for pool in keys['pools'] or ())
-            self._known(f'grant {name}', 'pools', part.grants[name], part.pools)
+            self._check_known(f'grant {name}', 'pools', part.grants[name], part.pools)
 
-    def _stages(self, part: PartFile) -> None:
+    def _read_stages(self, part: PartFile) -> None:
         for name, keys in self.sections['stage'].items():
-            full = qualified(part.name, name)
+            full_name = qualified(part.name, name)
             pool = qualified(part.name, keys.pop('pool') or '')
             if pool.startswith(f'{part.name}/'):
-                self._known(f'stage {name}', 'pool', (pool,), part.pools)
-            part.stages[full] = Stage(name=full, pool=pool, **keys)
+                self._check_known(f'stage {name}', 'pool', (pool,), part.pools)
+            part.stages[full_name] = Stage(name=full_name, pool=pool, **keys)
 
-    def _pipelines(self, part: PartFile) -> None:
+    def _read_pipelines(self, part: PartFile) -> None:
         for name, keys in self.sections['pipeline'].items():
             section = f'pipeline {name}'
-            full = qualified(part.name, name)
+            full_name = qualified(part.name, name)
             stages = tuple(qualified(part.name, stage) for stage in keys.pop('stages') or ())
-            accounts = tuple(qualified(part.name, known) for known in keys.pop('accounts') or ())
-            self._known(section, 'stages', stages, part.stages)
-            self._known(section, 'accounts', accounts, part.accounts)
+            accounts = tuple(
+                qualified(part.name, account) for account in keys.pop('accounts') or ()
+            )
+            self._check_known(section, 'stages', stages, part.stages)
+            self._check_known(section, 'accounts', accounts, part.accounts)
             if len(set(stages)) < len(stages):
                 self.document.report(section, 'stages', 'a stage stands twice')
-            part.pipelines[full] = Pipeline(
-                name=full,
+            part.pipelines[full_name] = Pipeline(
+                name=full_name,
                 stages=tuple(part.stages[stage] for stage in stages if stage in part.stages),
                 accounts=accounts,
                 **keys,
             )
 
-    def _known(
+    def _check_known(
         self,
         section: str,
         key: str,
@@ -274,7 +276,7 @@
         for name in names:
             if name not in known:
                 short = name.rpartition('/')[-1]
-                hint = nearest(short, [full.rpartition('/')[-1] for full in known])
+                hint = nearest(short, [full_name.rpartition('/')[-1] for full_name in known])
                 self.document.report(section, key, f'"{short}" is not in this file{hint}')
 
 
@@ -286,7 +288,7 @@
     files: dict[str, AcceptedFile] = field(default_factory=dict)
     parts: dict[str, PartFile] = field(default_factory=dict)
 
-    def advanced(self, revision: int, files: Iterable[AcceptedFile]) -> Configuration:
+    def updated(self, revision: int, files: Iterable[AcceptedFile]) -> Configuration:
         """Return the configuration with newer ``files`` taken in.
 
         A part whose text this version can't read keeps its former meaning.
@@ -327,7 +329,7 @@
         part = self.parts.get(owner)
         return bool(part and pool in part.grants.get(user, ()))
 
-    def account_of(self, token_sha256: str) -> Account | None:
+    def account_by_token(self, token_sha256: str) -> Account | None:
         """Return the client account whose token has this digest."""
         for part in self.parts.values():
             for account in part.accounts.values():
@@ -335,7 +337,7 @@
                     return account
         return None
 
-    def foreign_findings(self, part: PartFile, *, path: str) -> list[Finding]:
+    def grant_findings(self, part: PartFile, *, path: str) -> list[Finding]:
         """Return findings on what ``part`` uses of the other parts."""
         return [
             Finding(
--- a/ringseam/control/applying.py
+++ b/ringseam/control/applying.py
@@ -117,9 +117,9 @@
             part = config.read_part(request.text, path=request.path)
         except FindingsError as error:
             return _finding_lines(error.findings)
-        findings = self.holder.current.foreign_findings(part, path=request.path)
+        findings = self.holder.current.grant_findings(part, path=request.path)
         if part.name != request.part:
-            findings.append(config.wrong_part(request.path, part.name, request.part))
+            findings.append(config.part_mismatch(request.path, part.name, request.part))
         return _finding_lines(findings)
 
 
--- a/ringseam/control/founding.py
+++ b/ringseam/control/founding.py
@@ -60,7 +60,7 @@
         self.node = node
         self.client = client
         self.actor = actor
-        own = settings.own
+        own = settings.role_options
         self.initial_addresses = tuple(settings.process['control'])
         if own['seeds']:
             self.initial_addresses = cluster_addresses(own['seeds'], own['cluster_ports'])
@@ -69,7 +69,7 @@
 
     def add_seeds(self, settings: Settings) -> None:
         """Add the addresses of the seeds in reloaded settings."""
-        own = settings.own
+        own = settings.role_options
         self.known_addresses.update(cluster_addresses(own['seeds'], own['cluster_ports']))
 
     def peer_addresses(self) -> list[str]:
--- a/ringseam/control/role.py
+++ b/ringseam/control/role.py
@@ -93,7 +93,7 @@
         """Create the services; ``open`` reads the data folder."""
         super().__init__(settings=settings)
         self.node.adopts_group = False
-        own = settings.own
+        own = settings.role_options
         self.holder = ConfigHolder(node=self.node, client=self.client)
         self.directory = Directory(
             epoch=self.node.incarnation,
@@ -115,7 +115,7 @@
             node=self.node,
             submit=self._commit,
             confirm_leadership=lambda: self._ask_replica(ReadBarrier()),
-            target_voters=target_voters(settings.own),
+            target_voters=target_voters(settings.role_options),
             report_interval_s=settings.seconds('backend_report_ms'),
         )
         self.shares: ShareLeases | None = None
@@ -124,7 +124,7 @@
     async def open(self) -> None:
         """Load the replica, start serving, and join or create the group."""
         loop = asyncio.get_running_loop()
-        disk = DiskWait(node=self.node, folder=self.settings.own['data_dir'])
+        disk = DiskWait(node=self.node, folder=self.settings.role_options['data_dir'])
         await disk.wait(lambda: self.draining)
         self._register_methods()
         await self.server.start()
@@ -152,7 +152,7 @@
         def failed(detail: str) -> None:  # noqa: WPS430
             loop.call_soon_threadsafe(self._fail, detail)
 
-        own = self.settings.own
+        own = self.settings.role_options
         replica = Replica(
             node=self.node,
             storage=disk.storage,
@@ -312,13 +312,13 @@
     def _may_join(self, request: HelloRequest) -> bool:
         if request.group and request.group != self.node.group:
             return False
-        open_group = bool(self.settings.own['seeds'])
+        open_group = bool(self.settings.role_options['seeds'])
         return open_group or request.address in self.settings.process['control']
 
     async def _open_http_interface(self) -> None:
         """Serve backend servers and operators over HTTP, and run the leader's loops."""
         leader_client = ControlClient(client=self.client, addresses=())
-        document_bytes = self.settings.own['document_bytes']
+        document_bytes = self.settings.role_options['document_bytes']
         interface = OpenInterface(
             node=self.node,
             follow_service=self.follow_service,
@@ -330,7 +330,7 @@
         )
         limits = HttpLimits(body_bytes=_BODY_LIMIT_FACTOR * document_bytes)
         web = HttpServer(handler=interface.handle, limits=limits)
-        await web.start(*split_address(self.settings.own['http']))
+        await web.start(*split_address(self.settings.role_options['http']))
         self.stack.push_async_callback(web.close)
         self.spawn(self.follow_service.run_expiry())
         self.spawn(self.follow_service.quarantining.run_evaluation())
--- a/ringseam/gateway/following/coldservers.py
+++ b/ringseam/gateway/following/coldservers.py
@@ -31,7 +31,7 @@
 
     def cold_until(self, instance: BackendId, spec: ColdSpec) -> float:
         """Return until when a server is cold or may be cold."""
-        return max(self.until.get(instance, float('-inf')), self.observed_since + spec.length_s)
+        return max(self.until.get(instance, float('-inf')), self.observed_since + spec.duration_s)
 
     def keep_only(self, instances: set[BackendId]) -> None:
         """Remove all servers except ``instances``."""
--- a/ringseam/gateway/following/follower.py
+++ b/ringseam/gateway/following/follower.py
@@ -294,7 +294,7 @@
         for report in self.view.backends.values():
             service = self.table.services.get(report.service)
             if report.zone in zones and service is not None and service.cold is not None:
-                self.cold_servers.mark_cold(report.instance, now + service.cold.length_s)
+                self.cold_servers.mark_cold(report.instance, now + service.cold.duration_s)
 
     def _prune(self, news: WatchNews) -> None:
         """Remove servers that a complete directory does not contain."""
--- a/ringseam/gateway/following/pacing.py
+++ b/ringseam/gateway/following/pacing.py
@@ -180,7 +180,7 @@
 
     def _cold_until(self, instance: BackendId, spec: ColdSpec) -> float:
         unreachable_at = self.health.of(instance).unreachable_at
-        restarted_cold_until = unreachable_at + _RESTART_REPORT_S + spec.length_s
+        restarted_cold_until = unreachable_at + _RESTART_REPORT_S + spec.duration_s
         return max(restarted_cold_until, self.cold_servers.cold_until(instance, spec))
 
     def _next_send_at(self, instance: BackendId, spec: ColdSpec, peers: Collection[str]) -> float:
@@ -194,7 +194,7 @@
     def _share(self, instance: BackendId, spec: ColdSpec, peers: Collection[str]) -> PacingShare:
         """Return the share of this gateway in a server while it is cold."""
         if not peers:
-            return PacingShare(interval_s=1 / spec.per_s)
+            return PacingShare(interval_s=1 / spec.requests_per_s)
         if peers != self.peers:
             self.shares.clear()
             self.peers = peers
@@ -210,18 +210,18 @@
     ) -> PacingShare:
         """Compute the share of this gateway; all peers compute the same order."""
         order = rendezvous_order(instance, peers)
-        max_gateways = max(1, int(self._max_per_window(spec) - spec.per_s))
+        max_gateways = max(1, int(self._max_per_window(spec) - spec.requests_per_s))
         rank = order.index(self.name)
         if rank < max_gateways:
-            return PacingShare(interval_s=min(max_gateways, len(order)) / spec.per_s)
+            return PacingShare(interval_s=min(max_gateways, len(order)) / spec.requests_per_s)
         return PacingShare(
-            interval_s=(len(order) - max_gateways) / spec.per_s,
-            delay_after_warm_s=(rank - max_gateways + 1) / spec.per_s,
+            interval_s=(len(order) - max_gateways) / spec.requests_per_s,
+            delay_after_warm_s=(rank - max_gateways + 1) / spec.requests_per_s,
         )
 
     def _max_per_window(self, spec: ColdSpec) -> float:
         """Return how many requests a cold server sustains in any second."""
-        return spec.per_s * self.overload_factor + self.burst_allowance
+        return spec.requests_per_s * self.overload_factor + self.burst_allowance
 
     def _cold_window_wait_s(self, instance: BackendId, spec: ColdSpec, now: float) -> float:
         """Return how long until the requests of the last second are few enough."""
--- a/ringseam/gateway/requests/forwarding.py
+++ b/ringseam/gateway/requests/forwarding.py
@@ -88,7 +88,7 @@
         if route is None:
             await self.responder.reject(exchange, request, NOT_FOUND)
             return
-        account = None if route.public else table.account_of(request.key)
+        account = None if route.public else table.account_by_key(request.key)
         if table.accounts and account is None and not route.public:
             await self.responder.reject(exchange, request, UNAUTHORIZED)
             return
--- a/ringseam/gateway/role.py
+++ b/ringseam/gateway/role.py
@@ -68,7 +68,7 @@
         """Create the components; sockets are opened by :meth:`open`."""
         super().__init__(settings=settings)
         self.node.adopts_group = False
-        own = settings.own
+        own = settings.role_options
         self.metrics = Metrics()
         self.health = HealthTracker()
         self.lag = EventLoopLag()
@@ -168,9 +168,9 @@
         await self.server.start()
         self.stack.push_async_callback(self.server.close)
         self.stack.callback(self.pool.close)
-        await self.probe_server.start(*split_address(self.settings.own['ready']))
+        await self.probe_server.start(*split_address(self.settings.role_options['ready']))
         self.stack.push_async_callback(self.probe_server.close)
-        await self.client_server.start(*split_address(self.settings.own['http']))
+        await self.client_server.start(*split_address(self.settings.role_options['http']))
         self.stack.push_async_callback(self.client_server.close)
         await self.open_metrics(self.metrics)
         self.spawn(self.follower.run())
@@ -180,24 +180,24 @@
     def reload(self, settings: Settings) -> None:
         """Apply new settings and add new seed addresses."""
         super().reload(settings)
-        own = settings.own
+        own = settings.role_options
         self.follower.add_addresses(cluster_addresses(own['seeds'], own['cluster_ports']))
 
     @property
-    def drain_limit_s(self) -> float:
+    def drain_timeout_s(self) -> float:
         """Return the time from the stop signal until the process is killed, seconds."""
-        return self.settings.own['grace_s']
+        return self.settings.role_options['grace_s']
 
     async def drain(self) -> None:
         """Wait until the load balancer sends no new connections, then finish open requests."""
         loop = asyncio.get_running_loop()
         self.follower.draining = True
         self.client_server.closing = True
-        stop_at = loop.time() + max(0, self.drain_limit_s - _ABORT_RESERVE_S)
+        stop_at = loop.time() + max(0, self.drain_timeout_s - _ABORT_RESERVE_S)
         await asyncio.sleep(
             min(
                 _DEREGISTRATION_DELAY_S,
-                max(0, self.drain_limit_s - _ABORT_RESERVE_S - _STAGE_ABORT_LEAD_S),
+                max(0, self.drain_timeout_s - _ABORT_RESERVE_S - _STAGE_ABORT_LEAD_S),
             )
         )
         self.client_server.stop_listening()
@@ -239,10 +239,10 @@
 
     def _apply_changes(self) -> None:
         limits = self.follower.table.limits
-        self.client_server.limits.head_bytes = limits.head_bytes
+        self.client_server.limits.head_bytes = limits.header_bytes
         self.client_server.limits.body_bytes = limits.body_bytes
-        self.client_server.limits.head_s = limits.head_s
-        self.client_server.limits.idle_s = limits.idle_s
+        self.client_server.limits.head_s = limits.header_timeout_s
+        self.client_server.limits.idle_s = limits.idle_timeout_s
         self.guard.apply_quarantine()
         held = self.follower.quarantine
         self.metrics.put('contents_quarantined', len(held.quarantined))
--- a/ringseam/gateway/stages/batching.py
+++ b/ringseam/gateway/stages/batching.py
@@ -357,7 +357,7 @@
     def _usable_share(self, server: BackendReport, spec: BatchSpec) -> float:
         """Return the fraction of its time that a server's announced rate limit lets it work."""
         limit = self.pace.limits.of(server.instance)
-        return 1 if limit is None else min(1, limit.send_per_s * spec.whole_call_s / spec.slots)
+        return 1 if limit is None else min(1, limit.send_per_s * spec.full_call_s / spec.slots)
 
     def _start_call(
         self,
--- a/ringseam/gateway/stages/capacity.py
+++ b/ringseam/gateway/stages/capacity.py
@@ -51,12 +51,12 @@
         The server then stores unknown results, for example of a gateway that is gone, or
         results that are larger than the routes say.
         """
-        others = spec.room_bytes - self.used_bytes.get(instance, 0) - size
+        others = spec.result_capacity_bytes - self.used_bytes.get(instance, 0) - size
         self.unknown[instance] = UnknownUsage(amount=max(0, others), until=now + UNKNOWN_USAGE_S)
 
     def nominal_bytes(self, spec: BatchSpec) -> float:
         """Return the capacity of an empty server, in nominal bytes of results."""
-        return spec.room_bytes / _SIZE_MARGIN
+        return spec.result_capacity_bytes / _SIZE_MARGIN
 
     def free_bytes(self, instance: BackendId, spec: BatchSpec, now: float) -> float:
         """Return the free capacity of a server, in nominal bytes of results."""
@@ -73,7 +73,7 @@
         """
         own = sum(piece.job.result_bytes for piece in call.pieces)
         others = self.used_bytes.get(call.server.instance, 0) - own
-        return _AMPLE_SHARE * spec.room_bytes - others
+        return _AMPLE_SHARE * spec.result_capacity_bytes - others
 
     def keep_only(self, instances: set[BackendId]) -> None:
         """Drop the state of servers that are gone."""
--- a/ringseam/gateway/stages/graph.py
+++ b/ringseam/gateway/stages/graph.py
@@ -259,7 +259,11 @@
         if number not in self.completed_at or service is None or service.batching is None:
             return math.inf
         # The first piece may have finished one call before the last.
-        return self.completed_at[number] + service.batching.keep_s - service.batching.call_s
+        return (
+            self.completed_at[number]
+            + service.batching.result_retention_s
+            - service.batching.call_s
+        )
 
 
 def has_stages(route: Route, pieces: tuple[int, ...]) -> bool:
--- a/ringseam/gateway/stages/order.py
+++ b/ringseam/gateway/stages/order.py
@@ -67,7 +67,7 @@
     job = piece.job
     if piece.failed_servers or route_priority(job.rank) == 0:
         return True
-    spare = job.due - now - _MIN_SPARE_CALLS * spec.whole_call_s
+    spare = job.due - now - _MIN_SPARE_CALLS * spec.full_call_s
     return spare < 0 < job.due - now
 
 
--- a/ringseam/gateway/stages/scheduler.py
+++ b/ringseam/gateway/stages/scheduler.py
@@ -334,7 +334,7 @@
         for piece, result in zip(call.pieces, piece_results, strict=True):
             if result.handle:
                 state.add_result(result.handle, call.server.instance, piece.job.result_bytes)
-                loop.call_later(spec.keep_s, state.remove_result, result.handle)
+                loop.call_later(spec.result_retention_s, state.remove_result, result.handle)
                 self._resolve(state, piece, result)
             elif result.fault is PieceFault.room:
                 without_capacity.append(piece)
--- a/ringseam/gateway/stages/throughput.py
+++ b/ringseam/gateway/stages/throughput.py
@@ -94,7 +94,7 @@
 
     def pieces_per_s(self, healthy: float, spec: BatchSpec) -> float:
         """Return how many pieces ``healthy`` servers process per second."""
-        piece_s = self.observed_piece_s or spec.whole_call_s / spec.batch
+        piece_s = self.observed_piece_s or spec.full_call_s / spec.batch
         return (healthy or 1) * spec.slots / piece_s
 
     def until_free_s(
--- a/ringseam/model/pattern.py
+++ b/ringseam/model/pattern.py
@@ -311,8 +311,8 @@
             batch=load.batch,
             call_s=load.call_s,
             piece_s=load.piece_s,
-            room_bytes=int(load.room_mb * _MEGABYTE),
-            keep_s=load.keep_s,
+            result_capacity_bytes=int(load.room_mb * _MEGABYTE),
+            result_retention_s=load.keep_s,
         )
     else:
         engine = EngineSpec(slots=64, cache_tokens=load.memory_tokens)
--- a/ringseam/platform/manifest.py
+++ b/ringseam/platform/manifest.py
@@ -7,14 +7,13 @@
 import msgspec
 
 from ringseam.errors import Finding, FindingsError
-from ringseam.routefaults import checked
 from ringseam.routes import (
     Account,
     AccountName,
     BackendService,
     BatchSpec,
+    ClientLimits,
     ColdSpec,
-    EdgeLimits,
     EngineSpec,
     RequestKind,
     Route,
@@ -23,6 +22,7 @@
     ServiceName,
     Target,
 )
+from ringseam.routevalidation import validated
 
 _MS = 1000
 _MEGABYTE = 1_000_000
@@ -125,14 +125,14 @@
         routes=tuple(_route(route) for route in manifest.routes),
         services={ServiceName(service.name): _service(service) for service in manifest.services},
         accounts=tuple(_account(tenant) for tenant in manifest.tenants),
-        limits=EdgeLimits(
-            head_bytes=manifest.limits.max_header_bytes,
+        limits=ClientLimits(
+            header_bytes=manifest.limits.max_header_bytes,
             body_bytes=manifest.limits.max_body_bytes,
-            head_s=manifest.limits.header_timeout_ms / _MS,
-            idle_s=manifest.limits.idle_timeout_ms / _MS,
+            header_timeout_s=manifest.limits.header_timeout_ms / _MS,
+            idle_timeout_s=manifest.limits.idle_timeout_ms / _MS,
         ),
     )
-    return checked(table, path='manifest')
+    return validated(table, path='manifest')
 
 
 def _route(route: _Route) -> Route:
@@ -181,7 +181,7 @@
 def _cold(service: _Service) -> ColdSpec | None:
     if service.cold_s <= 0 or service.cold_per_s <= 0:
         return None
-    return ColdSpec(length_s=service.cold_s, per_s=service.cold_per_s)
+    return ColdSpec(duration_s=service.cold_s, requests_per_s=service.cold_per_s)
 
 
 def _batching(pieces: _Pieces) -> BatchSpec:
@@ -191,8 +191,8 @@
         batch=max(1, pieces.batch),
         call_s=pieces.call_ms / _MS,
         piece_s=pieces.item_ms / _MS,
-        room_bytes=int(pieces.room_mb * _MEGABYTE),
-        keep_s=pieces.handle_s,
+        result_capacity_bytes=int(pieces.room_mb * _MEGABYTE),
+        result_retention_s=pieces.handle_s,
     )
 
 
--- a/ringseam/routes.py
+++ b/ringseam/routes.py
@@ -73,11 +73,11 @@
     batch: int
     call_s: float
     piece_s: float
-    room_bytes: int
-    keep_s: float
+    result_capacity_bytes: int
+    result_retention_s: float
 
     @property
-    def whole_call_s(self) -> float:
+    def full_call_s(self) -> float:
         """Return how long a full call takes, seconds."""
         return self.call_s + self.batch * self.piece_s
 
@@ -95,9 +95,9 @@
     """What one backend server bears after it has started."""
 
     #: How long it is cold, seconds.
-    length_s: float
+    duration_s: float
     #: Requests a second that it bears meanwhile.
-    per_s: float
+    requests_per_s: float
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -125,13 +125,13 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class EdgeLimits:
+class ClientLimits:
     """What clients may send; bytes and seconds."""
 
-    head_bytes: int = 16_384
+    header_bytes: int = 16_384
     body_bytes: int = 4_194_304
-    head_s: float = 3
-    idle_s: float = 15
+    header_timeout_s: float = 3
+    idle_timeout_s: float = 15
 
 
 @dataclass(kw_only=True)
@@ -142,22 +142,22 @@
     trying one route after the other took 200, with 4,200 routes of one host.
     """
 
-    by_prefix: dict[str, Route] = field(default_factory=dict)
+    routes_by_prefix: dict[str, Route] = field(default_factory=dict)
     #: Lengths of prefixes, longest first.
-    lengths: list[int] = field(default_factory=list)
+    prefix_lengths: list[int] = field(default_factory=list)
 
     def add(self, route: Route) -> None:
         """Add a route; the first with a prefix stays."""
-        self.by_prefix.setdefault(route.prefix, route)
+        self.routes_by_prefix.setdefault(route.prefix, route)
         length = len(route.prefix)
-        if length not in self.lengths:
-            self.lengths.append(length)
-            self.lengths.sort(reverse=True)
+        if length not in self.prefix_lengths:
+            self.prefix_lengths.append(length)
+            self.prefix_lengths.sort(reverse=True)
 
     def match(self, path: str) -> Route | None:
         """Return the route with the longest prefix that begins ``path``."""
-        for length in self.lengths:
-            route = self.by_prefix.get(path[:length])
+        for length in self.prefix_lengths:
+            route = self.routes_by_prefix.get(path[:length])
             if route is not None:
                 return route
         return None
@@ -171,7 +171,7 @@
     routes: tuple[Route, ...] = ()
     services: dict[ServiceName, BackendService] = field(default_factory=dict)
     accounts: tuple[Account, ...] = ()
-    limits: EdgeLimits = EdgeLimits()
+    limits: ClientLimits = ClientLimits()
     by_host: dict[str, HostRoutes] = field(init=False, default_factory=dict)
     by_key: dict[str, Account] = field(init=False, default_factory=dict)
 
@@ -187,6 +187,6 @@
         routes = self.by_host.get(host)
         return routes.match(path) if routes else None
 
-    def account_of(self, key: str) -> Account | None:
+    def account_by_key(self, key: str) -> Account | None:
         """Return the client account that holds ``key``."""
         return self.by_key.get(key)
--- a/ringseam/routefaults.py
+++ b/ringseam/routevalidation.py
@@ -13,18 +13,18 @@
     from ringseam.routes import Account, Route, RouteTable, ServiceName
 
 
-def checked(table: RouteTable, *, path: str) -> RouteTable:
+def validated(table: RouteTable, *, path: str) -> RouteTable:
     """Return a valid table, without targets that get no request.
 
     :param path: names the document that the table came from.
     :raises FindingsError: when it is invalid, with every finding.
     """
-    faults = [*_faults_of_routes(table), *_shared_keys(table.accounts)]
-    if faults:
+    errors = [*_table_errors(table), *_shared_key_errors(table.accounts)]
+    if errors:
         raise FindingsError(
             [
                 Finding(path=path, line=0, section=section, key='', message=message)
-                for section, message in faults
+                for section, message in errors
             ],
         )
     return replace(table, routes=tuple(map(_without_idle_targets, table.routes)))
@@ -35,21 +35,21 @@
     return replace(route, targets=targets)
 
 
-def _faults_of_routes(table: RouteTable) -> Iterator[tuple[str, str]]:
-    places: set[tuple[str, str]] = set()
+def _table_errors(table: RouteTable) -> Iterator[tuple[str, str]]:
+    seen: set[tuple[str, str]] = set()
     for route in table.routes:
-        for fault in _faults_of(route, table.services):
-            yield route.name, fault
-        place = (route.host, route.prefix)
-        if place in places:
+        for error in _route_errors(route, table.services):
+            yield route.name, error
+        host_and_prefix = (route.host, route.prefix)
+        if host_and_prefix in seen:
             yield route.name, 'host and prefix are those of another route'
-        places.add(place)
+        seen.add(host_and_prefix)
 
 
-def _faults_of(route: Route, services: Collection[ServiceName]) -> Iterator[str]:
-    used = [target.service for target in route.targets]
-    used.extend(stage.service for stage in route.stages)
-    for name in used:
+def _route_errors(route: Route, services: Collection[ServiceName]) -> Iterator[str]:
+    services_used = [target.service for target in route.targets]
+    services_used.extend(stage.service for stage in route.stages)
+    for name in services_used:
         if name not in services:
             yield f'unknown service {name!r}'
     if sum(target.weight for target in route.targets) <= 0:
@@ -61,7 +61,7 @@
             yield f'stage {number} comes after a stage that is not before it'
 
 
-def _shared_keys(accounts: tuple[Account, ...]) -> Iterator[tuple[str, str]]:
+def _shared_key_errors(accounts: tuple[Account, ...]) -> Iterator[tuple[str, str]]:
     owners: dict[str, str] = {}
     for account in accounts:
         for key in sorted(account.keys):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import HealthCheck, settings
 
-from ringseam.layout import Layout, digest_of
+from ringseam.layout import Layout, token_digest
 from tests.knownred import known_tests, mark_known
 from tests.processes import System
 
@@ -22,10 +22,10 @@
 PART_FILE = f"""\
 [part]
 name = demo
-operator_token_sha256 = {digest_of('operator-of-demo')}
+operator_token_sha256 = {token_digest('operator-of-demo')}
 
 [account inspector]
-token_sha256 = {digest_of('caller')}
+token_sha256 = {token_digest('caller')}
 
 [pool readers]
 echoes_id = yes
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -46,8 +46,8 @@
     program: str = 'ringseam'
 
     def start(self, *names):
-        for name in names or self.layout.planned:
-            planned = self.layout.planned[name]
+        for name in names or self.layout.processes:
+            planned = self.layout.processes[name]
             command = [sys.executable, '-m', self.program, planned.role, '--settings']
             errors = (self.layout.folder / f'{name}.err').open('ab')
             self.running[name] = subprocess.Popen(
@@ -80,7 +80,7 @@
 
     def cut(self, name, *others, both=True):
         """Silently cut ``name`` off from ``others``; none: heal it."""
-        planned = self.layout.planned
+        planned = self.layout.processes
         (self.layout.folder / f'{name}.drill').write_text(
             ' '.join(planned[other].address for other in others),
         )
@@ -178,7 +178,7 @@
         try:
             return urllib3.request(
                 'GET',
-                f'http://{self.layout.planned[entry].http}{path}',
+                f'http://{self.layout.processes[entry].http}{path}',
                 retries=False,
                 timeout=5,
             )
@@ -191,7 +191,7 @@
             headers['Idempotency-Key'] = key
         return urllib3.request(
             'POST',
-            f'http://{self.layout.planned[entry].http}/v1/pipelines/{pipeline}',
+            f'http://{self.layout.processes[entry].http}/v1/pipelines/{pipeline}',
             body=body,
             headers=headers,
             retries=False,
@@ -209,7 +209,7 @@
         """Change the faults of a stand-in."""
         reply = urllib3.request(
             'POST',
-            f'http://{self.layout.planned[f"{server}-server"].http}/faults',
+            f'http://{self.layout.processes[f"{server}-server"].http}/faults',
             json=faults,
             retries=False,
         )
@@ -217,7 +217,7 @@
 
     def executions(self, server, marker=''):
         """Return the recorded executions whose identity holds ``marker``."""
-        path = Path(self.layout.planned[f'{server}-server'].record_file)
+        path = Path(self.layout.processes[f'{server}-server'].record_file)
         lines = path.read_text().splitlines() if path.exists() else []
         return [line for line in lines if marker in line]
 
--- a/tests/test_config/test_config_findings.py
+++ b/tests/test_config/test_config_findings.py
@@ -8,7 +8,7 @@
 
 from ringseam.config import read_part
 from ringseam.errors import FindingsError
-from ringseam.settings import ROLES, default_file, read_settings
+from ringseam.settings import ROLES, default_settings_text, read_settings
 
 DIGEST = 'a' * 64
 PART = f'[part]\nname = p\noperator_token_sha256 = {DIGEST}\n'
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize('role', ROLES)
 def test_default_settings_name_only_what_is_missing(role, tmp_path):
     with pytest.raises(FindingsError) as caught:
-        read_settings(role, default_file(role), path='x.ini')
+        read_settings(role, default_settings_text(role), path='x.ini')
     assert {finding.message for finding in caught.value.findings} == {
         'missing; this key is required'
     }
--- a/tests/test_deploy/test_deploy_settings.py
+++ b/tests/test_deploy/test_deploy_settings.py
@@ -96,16 +96,16 @@
     settings = read_settings(role, rendered(role, PLACES | drawn), path='settings.conf')
     assert settings.process['zones'] == ZONES
     if role == 'gateway':
-        assert settings.own['retry_slack'] == float(drawn['bounds.retry_slack'])
-        assert settings.own['retry_ratio'] == float(drawn['bounds.retry_ratio'])
-        assert settings.own['retry_window_s'] == float(drawn['bounds.retry_window_s'])
-        assert settings.own['grace_s'] == float(drawn['bounds.grace_s'])
-        assert settings.own['cold_over'] == float(drawn['bounds.cold_over'] or 1.5)
-        assert settings.own['cold_slack'] == float(drawn['bounds.cold_slack'] or 5)
+        assert settings.role_options['retry_slack'] == float(drawn['bounds.retry_slack'])
+        assert settings.role_options['retry_ratio'] == float(drawn['bounds.retry_ratio'])
+        assert settings.role_options['retry_window_s'] == float(drawn['bounds.retry_window_s'])
+        assert settings.role_options['grace_s'] == float(drawn['bounds.grace_s'])
+        assert settings.role_options['cold_over'] == float(drawn['bounds.cold_over'] or 1.5)
+        assert settings.role_options['cold_slack'] == float(drawn['bounds.cold_slack'] or 5)
     else:
-        assert settings.own['backend_report_ms'] == float(drawn['heartbeat_ms'])
-        assert settings.own['tolerated_losses'] == int(drawn['fault_tolerance.machines'])
-        assert settings.own['may_found'] == (drawn['bootstrap'] == 'true')
+        assert settings.role_options['backend_report_ms'] == float(drawn['heartbeat_ms'])
+        assert settings.role_options['tolerated_losses'] == int(drawn['fault_tolerance.machines'])
+        assert settings.role_options['may_found'] == (drawn['bootstrap'] == 'true')
 
 
 @pytest.mark.parametrize('text', ['many', 'nan', 'inf', '-1', '1e400', '0,2'])
--- a/tests/test_examples/test_examples_files.py
+++ b/tests/test_examples/test_examples_files.py
@@ -24,17 +24,17 @@
 
 
 def test_both_parts_together():
-    both = Configuration().advanced(2, [accepted('voltara', 1), accepted('thies', 2)])
+    both = Configuration().updated(2, [accepted('voltara', 1), accepted('thies', 2)])
     for part in both.parts.values():
-        assert both.foreign_findings(part, path='') == []
+        assert both.grant_findings(part, path='') == []
         assert len(part.accounts) == 5
     assert both.pipeline('thies/reject').needs_key
     assert both.pipeline('voltara/swap').needs_key
 
 
 def test_use_without_the_grant_is_a_finding():
-    alone = Configuration().advanced(1, [accepted('thies', 1)])
-    findings = alone.foreign_findings(alone.parts['thies'], path='thies.ini')
+    alone = Configuration().updated(1, [accepted('thies', 1)])
+    findings = alone.grant_findings(alone.parts['thies'], path='thies.ini')
     assert [finding.section for finding in findings] == ['stage explain-defects']
 
 
--- a/tests/test_gateway/test_following/test_following_coldservers.py
+++ b/tests/test_gateway/test_following/test_following_coldservers.py
@@ -24,7 +24,7 @@
 from ringseam.rpc import CallClient
 from ringseam.zones import DrainedZones
 
-COLD = ColdSpec(length_s=3, per_s=9)
+COLD = ColdSpec(duration_s=3, requests_per_s=9)
 #: What a cold server sustains in any second: 1.5 times its rate and 5 more requests.
 MAX_PER_S = 18.5
 LLM = BackendService(
@@ -148,7 +148,7 @@
 def test_share_follows_the_configured_rate_of_the_service():
     limited = pacer(name='g0', e0=100)
     peers = frozenset({'g0', 'g1'})
-    faster = dataclasses.replace(COLD, per_s=18)
+    faster = dataclasses.replace(COLD, requests_per_s=18)
     assert [limited.reserve(SERVER, COLD, 0, peers=peers) for _ in range(2)] == pytest.approx(
         [0, 2 / 9]
     )
--- a/tests/test_gateway/test_following/test_following_zones.py
+++ b/tests/test_gateway/test_following/test_following_zones.py
@@ -146,7 +146,7 @@
         servers = {zone: ScriptedServer(respond) for zone in 'ab'}
         async with LocalGateway(key_file) as gateway:
             services = gateway.role.follower.table.services
-            cold = ColdSpec(length_s=60, per_s=4)
+            cold = ColdSpec(duration_s=60, requests_per_s=4)
             services[ServiceName('plain')] = replace(services[ServiceName('plain')], cold=cold)
             gateway.add_server(await servers['a'].start(), zone='a', name='a')
             gateway.role.follower.cold_servers.mark_cold(
--- a/tests/test_gateway/test_stages/test_stages_batching.py
+++ b/tests/test_gateway/test_stages/test_stages_batching.py
@@ -20,7 +20,13 @@
 
 SERVICE = ServiceName('crops')
 SPEC = BatchSpec(
-    slots=1, queue=2, batch=4, call_s=0.2, piece_s=0.05, room_bytes=1_000_000, keep_s=4
+    slots=1,
+    queue=2,
+    batch=4,
+    call_s=0.2,
+    piece_s=0.05,
+    result_capacity_bytes=1_000_000,
+    result_retention_s=4,
 )
 
 
@@ -399,7 +405,7 @@
             now += 1
             continue
         assert len(call.pieces) <= SPEC.batch
-        assert sum(piece.job.result_bytes for piece in call.pieces) <= SPEC.room_bytes
+        assert sum(piece.job.result_bytes for piece in call.pieces) <= SPEC.result_capacity_bytes
         seen.extend((piece.job.attempt_id, piece.number) for piece in call.pieces)
         batcher.call_ended(call)
     assert sorted(seen) == sorted(expected)
--- a/tests/test_gateway/test_stages/test_stages_graph.py
+++ b/tests/test_gateway/test_stages/test_stages_graph.py
@@ -17,7 +17,15 @@
 from ringseam.quarantinemessages import Suspect
 from ringseam.routes import BackendService, BatchSpec, RouteStage, RouteTable, ServiceName
 
-SPEC = BatchSpec(slots=1, queue=2, batch=4, call_s=0.2, piece_s=0.02, room_bytes=10**7, keep_s=4)
+SPEC = BatchSpec(
+    slots=1,
+    queue=2,
+    batch=4,
+    call_s=0.2,
+    piece_s=0.02,
+    result_capacity_bytes=10**7,
+    result_retention_s=4,
+)
 CROPS = ServiceName('crops')
 
 
@@ -206,7 +214,7 @@
     assert deadlines == pytest.approx([20 - 0.1 - 2 * call, 20 - 0.1 - call, 20 - 0.1])
     # Small inputs are cheap to recompute.
     assert pieces.jobs[1].expires == float('inf')
-    assert pieces.jobs[2].expires == SPEC.keep_s - SPEC.call_s
+    assert pieces.jobs[2].expires == SPEC.result_retention_s - SPEC.call_s
 
 
 def test_stages_are_not_run_again_without_enough_time():
--- a/tests/test_gateway/test_stages/test_stages_scheduler.py
+++ b/tests/test_gateway/test_stages/test_stages_scheduler.py
@@ -380,7 +380,7 @@
         engine = ScriptedServer(stream_script(1, 3))
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await engine.start())
-            gateway.role.settings.own['grace_s'] = 4.5
+            gateway.role.settings.role_options['grace_s'] = 4.5
             gateway.apply_document(manifest_with_time(20_000))
             asked = asyncio.create_task(
                 gateway.fetch('/staged/x', Pieces='1', Piece_Key='pk', Deadline_Ms='20000')
@@ -411,7 +411,13 @@
     """
     capacity = ResultCapacity(used_bytes={BackendId('a'): 400 + 500})
     spec = BatchSpec(
-        slots=1, queue=2, batch=50, call_s=0.2, piece_s=0.01, room_bytes=1000, keep_s=4
+        slots=1,
+        queue=2,
+        batch=50,
+        call_s=0.2,
+        piece_s=0.01,
+        result_capacity_bytes=1000,
+        result_retention_s=4,
     )
     pieces = [Piece(job=piece_job(result_bytes=10), number=n, arrival=n) for n in range(50)]
     call = StageCall(server=server_of_crops('a'), pieces=pieces, expected_s=0.7)
--- a/tests/test_platform/test_platform_manifest.py
+++ b/tests/test_platform/test_platform_manifest.py
@@ -59,10 +59,10 @@
     assert found.repeatable
     assert found.objective_s == 1.6
     assert found.stages[1].after == (0,)
-    assert table.services['crops'].batching.room_bytes == 1_500_000
+    assert table.services['crops'].batching.result_capacity_bytes == 1_500_000
     assert table.services['llm'].engine.cache_tokens == 1000
-    assert table.account_of('k2').name == 't'
-    assert table.account_of('k3') is None
+    assert table.account_by_key('k2').name == 't'
+    assert table.account_by_key('k3') is None
 
 
 def test_longest_prefix_of_the_host_wins():
--- a/tests/test_prefixes/test_prefixes_index.py
+++ b/tests/test_prefixes/test_prefixes_index.py
@@ -14,7 +14,7 @@
 from ringseam.standin.cache import PrefixCache
 from tests.test_routing.test_routing_choice import agent
 
-WANTED = RoutingRequest(pool='p/q', zone='zone-1', est_ms=10, prefix=7)
+REQUEST = RoutingRequest(pool='p/q', zone='zone-1', est_ms=10, prefix=7)
 
 
 @given(
@@ -31,18 +31,18 @@
     for number, prefix in enumerate(uses):
         cache.use(prefix, lose=lambda: dice.random() * 100 < gap_percent)
         if number in polls:
-            index.take(cache.since(index.sequence, 0))
+            index.apply(cache.since(index.sequence, 0))
             if index.needs_resync:
-                assert index.reported() == ()
+                assert index.newest() == ()
                 index.resync(cache.whole())
             if index.sequence == cache.sequence:
-                assert set(index.held) == set(cache.held)
+                assert set(index.prefixes) == set(cache.held)
 
 
 def test_restarted_engine_is_not_trusted():
     index = PrefixIndex()
     index.resync(PrefixCache(entries=2).whole())
-    index.take(PrefixCache(entries=2).since(0, 0))
+    index.apply(PrefixCache(entries=2).since(0, 0))
     assert index.needs_resync
 
 
@@ -50,7 +50,7 @@
     router = AdaptiveRouter(seed=1)
     agents = [agent(number) for number in range(4)]
     agents[2] = msgspec.structs.replace(agents[2], prefixes=(7,))
-    assert {router.choose(agents, WANTED, 0).name for _ in range(50)} == {'a2'}
+    assert {router.choose(agents, REQUEST, 0).name for _ in range(50)} == {'a2'}
 
 
 def test_loaded_holder_is_left():
@@ -59,7 +59,7 @@
     agents[2] = msgspec.structs.replace(agents[2], prefixes=(7,))
     counts = Counter()
     for _ in range(40):
-        chosen = router.choose(agents, WANTED, 0)
+        chosen = router.choose(agents, REQUEST, 0)
         router.record_start(chosen)
         counts[chosen.name] += 1
     assert counts['a2'] < 25
--- a/tests/test_system/test_system_control.py
+++ b/tests/test_system/test_system_control.py
@@ -58,7 +58,7 @@
 
 def lose_folder(system, name):
     system.kill(name)
-    shutil.rmtree(system.layout.planned[name].data_dir)
+    shutil.rmtree(system.layout.processes[name].data_dir)
     system.start(name)
 
 
@@ -141,7 +141,7 @@
 def test_two_lost_folders_form_no_group_and_traffic_goes_on(whole_system):
     for victim in ('control-1', 'control-2'):
         whole_system.kill(victim)
-        shutil.rmtree(whole_system.layout.planned[victim].data_dir)
+        shutil.rmtree(whole_system.layout.processes[victim].data_dir)
     whole_system.start('control-1', 'control-2')
     until = time.monotonic() + 4
     while time.monotonic() < until:
@@ -195,7 +195,7 @@
     others = [name for name in CONTROL if name != stale]
     whole_system.cut(stale, *others, *('reader', 'signaller'), both=False)
     for other in others:
-        address = whole_system.layout.planned[stale].address
+        address = whole_system.layout.processes[stale].address
         (whole_system.layout.folder / f'{other}.drill').write_text(address)
     whole_system.apply(f'{part_file}\n# newer\n', expect=1)
     whole_system.kill('other')
@@ -217,7 +217,7 @@
 def test_everything_down_at_night_comes_back(whole_system, seed, part_file):
     import random
 
-    order = list(whole_system.layout.planned)
+    order = list(whole_system.layout.processes)
     first = whole_system.post('signal', b'reject 9', key='night')
     whole_system.apply(f'{part_file}\n# before the night\n', expect=1)
     whole_system.kill(*order)
@@ -238,7 +238,7 @@
 
 def test_drained_zone_outlives_the_kill_of_all_hosts(control):
     """By the commands of operators, also twice."""
-    planned = control.layout.planned
+    planned = control.layout.processes
     where = [
         '--control',
         ','.join(planned[name].address for name in CONTROL),
--- a/tests/test_system/test_system_leaving.py
+++ b/tests/test_system/test_system_leaving.py
@@ -165,7 +165,7 @@
     began = time.monotonic()
     reply = urllib3.request(
         'POST',
-        f'http://{whole_system.layout.planned["entry"].http}/v1/pipelines/two',
+        f'http://{whole_system.layout.processes["entry"].http}/v1/pipelines/two',
         body=b'x',
         headers={'Authorization': 'Bearer caller', 'Ringseam-Timeout-Ms': '700'},
         retries=False,
@@ -189,7 +189,7 @@
 
 
 def test_rejected_requests(whole_system):
-    base = f'http://{whole_system.layout.planned["entry"].http}/v1/pipelines'
+    base = f'http://{whole_system.layout.processes["entry"].http}/v1/pipelines'
     for name, headers, pipeline, status in REJECTED:
         reply = urllib3.request(
             'POST', f'{base}/{pipeline}', body=b'x', headers=headers, retries=False
@@ -200,7 +200,7 @@
 
 def test_random_bytes_on_every_port(whole_system):
     dice = random.Random(7)
-    planned = whole_system.layout.planned
+    planned = whole_system.layout.processes
     ports = [planned[name].address for name in (*CONTROL, 'entry', 'reader')]
     ports += [planned[name].http for name in ('entry', 'reader')]
     slow = []
--- a/tests/test_system/test_system_streams.py
+++ b/tests/test_system/test_system_streams.py
@@ -36,7 +36,7 @@
 def ask_streamed(system, body, **headers):
     return urllib3.request(
         'POST',
-        f'http://{system.layout.planned["entry"].http}/v1/pipelines/tell',
+        f'http://{system.layout.processes["entry"].http}/v1/pipelines/tell',
         body=body,
         headers={
             'Authorization': 'Bearer caller',
--- a/tests/test_system/test_system_suspended.py
+++ b/tests/test_system/test_system_suspended.py
@@ -39,7 +39,7 @@
     layout.add_entry('entry-1')
     layout.add_server('server-1', pool='readers')
     layout.add('gateway', 'gateway-1', http=free_address(), ready=free_address(), **seeds)
-    plan = next(plan for plan in layout.planned.values() if plan.role == kind)
+    plan = next(plan for plan in layout.processes.values() if plan.role == kind)
     text = plan.settings.read_text(encoding='utf-8')
     return Role.kinds[kind](settings=read_settings(kind, text, path=str(plan.settings)))
 
--- a/tests/test_timeline/test_timeline_merge.py
+++ b/tests/test_timeline/test_timeline_merge.py
@@ -5,7 +5,7 @@
 import json
 
 from ringseam.clock import HybridClock, PausedClock
-from ringseam.timeline import as_html, as_text, of_request, read_events
+from ringseam.timeline import events_of_request, format_html, format_text, read_events
 
 
 def line(process, stamp, text, **details):
@@ -32,12 +32,12 @@
     (tmp_path / 'a.log').write_text(line('a', sent, 'sent', request='r1') + '\n')
     (tmp_path / 'c.log').write_text(line('c', (1, 0), 'other', request='r2') + '\n')
     events = read_events(sorted(tmp_path.glob('*.log')))
-    assert [event.text for event in of_request(events, 'r1')] == ['sent', 'received']
-    assert 'other' in as_text(events)
+    assert [event.text for event in events_of_request(events, 'r1')] == ['sent', 'received']
+    assert 'other' in format_text(events)
 
 
 def test_page_is_whole_and_escaped(tmp_path):
     (tmp_path / 'a.log').write_text(line('a', (1, 0), '<script>', detail='<b>'))
-    page = as_html(read_events([tmp_path / 'a.log']))
+    page = format_html(read_events([tmp_path / 'a.log']))
     assert page.endswith('</html>\n')
     assert '<script>' not in page
