--- a/ringseam/control/backenddirectory.py
+++ b/ringseam/control/backenddirectory.py
@@ -151,7 +151,7 @@
         )
 
     def has_changes(self, request: WatchRequest, number: int) -> bool:
-        """Return whether a gateway lacks a change or the document ``number``."""
+        """Return whether a gateway lacks a change or hasn't heard of document ``number``."""
         is_current = request.epoch == self.epoch and request.since >= self.change
         return not is_current or max(request.number, request.heard) < number
 
--- a/ringseam/control/openinterface.py
+++ b/ringseam/control/openinterface.py
@@ -62,7 +62,7 @@
 #: A report has some hundred bytes; for a server with many models, a few thousand.
 _MAX_REPORT_BYTES = 64 * 2**10
 #: Number of refused reports that are logged in a burst, and then per second: enough to
-#: identify the senders, while one server that reports each second can't fill the log.
+#: identify the senders, while servers that report each second can't fill the log.
 _REFUSAL_LOG_BURST = 20
 _REFUSAL_LOGS_PER_S = 1.0
 _MAX_LOGGED_CHARACTERS = 200
--- a/tests/test_control/test_control_large_documents.py
+++ b/tests/test_control/test_control_large_documents.py
@@ -1,12 +1,12 @@
 """Memory and disk use of control hosts with large or many documents.
 
-Guards against log entries that are limited by number but not by size: an entry holds a whole
-document, so 160 changes of a document of 784 kB (4,200 routes) fill a disk of 128 MB, and a
-follower that lags receives all missing entries in one message, again with each heartbeat
-until it answers. The leader then exceeds its memory limit, changes are in force late, and
-after a power failure of all hosts gateways get no routes. The same faults followed from
-sending gateways the whole document with each watch reply, which
-``test_following_documentfetch`` guards against.
+Guards against unbounded use in proportion to whole documents. When gateways received the
+whole document with each watch reply, a document of 4,200 routes (784 kB) made the leader
+exceed its memory limit, put a change in force late, and left gateways without routes after
+a power failure of all hosts; ``test_following_documentfetch`` covers that part. Log entries
+that are limited by number but not by size have the same cause: 160 changes of such a document
+fill a disk of 128 MB, and a lagging follower receives all missing entries in one message,
+again with each heartbeat until it answers.
 """
 
 from __future__ import annotations
