--- a/bench/control.py
+++ b/bench/control.py
@@ -78,7 +78,7 @@
 
 async def commit(control, command):
     request = CommandRequest(command=command)
-    return await control.ask_leader(COMMAND, request, timeout_s=10)
+    return await control.call_leader(COMMAND, request, timeout_s=10)
 
 
 async def many(control, commands, at_once):
--- a/bench/deciders.py
+++ b/bench/deciders.py
@@ -22,6 +22,7 @@
 import typer
 
 from ringseam.backends import BackendId, BackendReport, BackendView, GatewayState
+from ringseam.envelopes import ReceivedMessage
 from ringseam.gateway.following.guard import QuarantineGuard
 from ringseam.gateway.following.health import HealthTracker
 from ringseam.gateway.following.ownership import Ownership
@@ -35,7 +36,6 @@
 from ringseam.quarantinemessages import QuarantineSnapshot
 from ringseam.retries import WindowRetries
 from ringseam.routes import BackendService, BatchSpec, RouteTable, ServiceName
-from ringseam.sealing import Received
 
 if TYPE_CHECKING:
     from ringseam.clock import PausedClock
@@ -214,8 +214,8 @@
         )
 
 
-def _received(body: Any) -> Received:
-    return Received(sender='', address='', group='', revision=0, body=body)
+def _received(body: Any) -> ReceivedMessage:
+    return ReceivedMessage(sender='', address='', group='', revision=0, body=body)
 
 
 def main(
--- a/bench/documents.py
+++ b/bench/documents.py
@@ -4,7 +4,7 @@
 
 import time
 
-from ringseam.documents import decode_change, encode_change
+from ringseam.documents import apply_delta, encode_delta
 from tests.test_documents import document
 
 SIZES = (100, 500, 1500, 5000)
@@ -15,11 +15,11 @@
     print('routes  document   whole  change of one   made in  applied in')
     for count in SIZES:
         before, after = document(1, count), document(2, count, r50=1)
-        whole = encode_change(b'', after)
+        whole = encode_delta(b'', after)
         begun = time.perf_counter()
-        change = encode_change(before, after)
+        change = encode_delta(before, after)
         made = time.perf_counter()
-        decode_change(before, change)
+        apply_delta(before, change)
         applied = time.perf_counter()
         print(
             f'{count:6} {len(after):8} B {len(whole):6} B {len(change):8} B'
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -20,12 +20,12 @@
 
 from ringseam.config import Configuration
 from ringseam.control.directory import Directory
-from ringseam.deltas import DeltaReply
-from ringseam.messages import AcceptedFile, AgentState, Frame, Piece
+from ringseam.directorymessages import DirectoryDeltaReply
+from ringseam.envelopes import AuthenticatedCodec
+from ringseam.messages import AcceptedFile, AgentState, DispatchFrame, TextChunk
 from ringseam.node import Node
 from ringseam.routing import AgentView
 from ringseam.rpc import CallClient, CallServer
-from ringseam.sealing import SealedCodec
 from ringseam.services import DELTA, DISPATCH_STREAM, REPORT
 from ringseam.zones import DrainedZones
 from tests.conftest import PART_FILE
@@ -90,7 +90,7 @@
         sizes.append((count, len(raw)))
         view = AgentView()
         began = cpu()
-        view.merge('a', msgspec.msgpack.decode(raw, type=DeltaReply), 0)
+        view.merge('a', msgspec.msgpack.decode(raw, type=DirectoryDeltaReply), 0)
         merges.append((count, (cpu() - began) * 1e6))
     show('directory memory', memory, 'bytes an agent')
     show('delta encode', deltas, 'us an agent')
@@ -123,7 +123,7 @@
     server_node = Node(name='s', role='x', address='127.0.0.1:0', secret=b'k' * 32)
     client_node = Node(name='c', role='x', address='', secret=b'k' * 32)
     server = CallServer(node=server_node)
-    (server.add_frames if frames else server.add)(method, respond)
+    (server.add_server_stream if frames else server.add)(method, respond)
     await server.start()
     client = CallClient(node=client_node)
     try:
@@ -156,7 +156,7 @@
                 await client.call(address, REPORT, state, timeout_s=5)
             points.append((count, (cpu() - began) * 1e3))
     show('report call, both sides', points, 'ms a call')
-    codec = SealedCodec(node=Node(name='n', role='x', address='', secret=b'k' * 32))
+    codec = AuthenticatedCodec(node=Node(name='n', role='x', address='', secret=b'k' * 32))
     print(f'report on the wire: {len(codec.encode(agent_state(1), AgentState))} bytes')
     assert DELTA
 
@@ -192,12 +192,14 @@
 
             async def respond(received, send, count=count, text=text):
                 for _ in range(count):
-                    await send(Frame(part=Piece(text=text)))
+                    await send(DispatchFrame(part=TextChunk(text=text)))
 
             async with pair(DISPATCH_STREAM, respond, frames=True) as (client, address):
                 began = cpu()
                 seen = []
-                await client.call_frames(address, DISPATCH_STREAM, ask, seen.append, timeout_s=60)
+                await client.call_server_stream(
+                    address, DISPATCH_STREAM, ask, seen.append, timeout_s=60
+                )
                 points.append((len(seen), (cpu() - began) * 1e6))
         show(f'frames of {tokens} tokens, both sides', points, 'us a frame')
 
--- a/ringseam/calls.py
+++ b/ringseam/calls.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AnswerMarks:
+class ResponseMetadata:
     """What a backend server's answer says of itself."""
 
     attempt_id: str
--- a/ringseam/channels.py
+++ b/ringseam/channels.py
@@ -10,9 +10,9 @@
 from grpclib.client import Channel
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
+from ringseam.envelopes import AuthenticatedCodec
 from ringseam.errors import NotSentError, StrangerError
 from ringseam.ids import split_address
-from ringseam.sealing import SealedCodec
 
 if TYPE_CHECKING:
     from ringseam.node import Node
@@ -20,17 +20,17 @@
 logger = logging.getLogger(__name__)
 
 #: A connection that isn't made after this long won't be, seconds.
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 #: Unacknowledged bytes break a connection after this long, ms (RFC 5482).
 _USER_TIMEOUT_MS = 1000
 #: Seconds of silence before the kernel probes a peer, and how often it does.
-_PROBE_S = 1
-_PROBES = 2
-_SILENCE_OPTIONS = (
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 2
+_DEAD_PEER_OPTIONS = (
     (socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
-    (socket.TCP_KEEPIDLE, _PROBE_S),
-    (socket.TCP_KEEPINTVL, _PROBE_S),
-    (socket.TCP_KEEPCNT, _PROBES),
+    (socket.TCP_KEEPIDLE, _KEEPALIVE_INTERVAL_S),
+    (socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S),
+    (socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
 )
 #: What a broken connection raises, whichever layer sees it first.
 CALL_ERRORS = (
@@ -42,12 +42,12 @@
 )
 
 
-def detect_silence(transport: asyncio.BaseTransport) -> None:
+def detect_dead_peer(transport: asyncio.BaseTransport) -> None:
     """Let the kernel break a connection whose peer has fallen silent."""
     sock = transport.get_extra_info('socket')
     if sock is None:
         return
-    for option, amount in _SILENCE_OPTIONS:
+    for option, amount in _DEAD_PEER_OPTIONS:
         try:
             sock.setsockopt(socket.IPPROTO_TCP, option, amount)
         except OSError as error:
@@ -55,33 +55,33 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
 
 
-class Channels:
-    """Channels of one process by address, made on demand."""
+class ChannelPool:
+    """ChannelPool of one process by address, made on demand."""
 
     def __init__(self, *, node: Node) -> None:
         """Connect as ``node``."""
         self.node = node
         self.by_address: dict[str, Channel] = {}
         #: The connection at each address whose socket has its options.
-        self.tuned: dict[str, Any] = {}
+        self.configured: dict[str, Any] = {}
 
-    async def connected(self, address: str, timeout_s: float) -> Channel:
+    async def connect(self, address: str, timeout_s: float) -> Channel:
         """Return the channel to an address, with a connection that is open.
 
         :raises NotSentError: when none could be made.
         """
         channel = self._channel(address)
         try:
-            async with asyncio.timeout(min(timeout_s, CONNECT_S)):
+            async with asyncio.timeout(min(timeout_s, CONNECT_TIMEOUT_S)):
                 protocol = await channel.__connect__()
         except CALL_ERRORS as error:
             raise NotSentError(f'{address}: {type(error).__name__} {error}') from None
         if protocol.connection.is_closing():
             # The peer reset it between the handshake and this step.
             raise NotSentError(f'{address}: the connection was closed before it was used')
-        if self.tuned.get(address) is not protocol:
-            self.tuned[address] = protocol
-            detect_silence(protocol.connection._transport)  # noqa: WPS437 - no public way
+        if self.configured.get(address) is not protocol:
+            self.configured[address] = protocol
+            detect_dead_peer(protocol.connection._transport)  # noqa: WPS437 - no public way
         return channel
 
     def close(self) -> None:
@@ -94,6 +94,6 @@
         channel = self.by_address.get(address)
         if channel is None:
             host, port = split_address(address)
-            channel = Channel(host, port, codec=SealedCodec(node=self.node))
+            channel = Channel(host, port, codec=AuthenticatedCodec(node=self.node))
             self.by_address[address] = channel
         return channel
--- a/ringseam/cmd/zones.py
+++ b/ringseam/cmd/zones.py
@@ -10,7 +10,7 @@
 from ringseam.cmd.main import ExitCode, app
 from ringseam.cmd.operate import ControlOption, JsonOption, KeyOption, with_control
 from ringseam.controlclient import ControlClient
-from ringseam.following import ORDER_ZONE, READ_ZONES, ZoneOrder
+from ringseam.followmessages import ORDER_ZONE, READ_ZONES, ZoneOrder
 from ringseam.messages import Empty
 from ringseam.zones import DrainedZones
 
@@ -24,7 +24,7 @@
     """Show the drained zones: ``ringseam zones --control ... --key-file cluster.key``."""
 
     async def ask(control: ControlClient) -> Any:  # noqa: WPS430
-        return await control.ask_leader(READ_ZONES, Empty(), timeout_s=_ORDER_S)
+        return await control.call_leader(READ_ZONES, Empty(), timeout_s=_ORDER_S)
 
     _show(with_control(addresses, key_file, ask), as_json=as_json)
 
@@ -53,7 +53,7 @@
 
 def _order(order: ZoneOrder, addresses: str, key_file: KeyOption, *, as_json: bool) -> None:
     async def send(control: ControlClient) -> Any:  # noqa: WPS430
-        return await control.ask_leader(ORDER_ZONE, order, timeout_s=_ORDER_S)
+        return await control.call_leader(ORDER_ZONE, order, timeout_s=_ORDER_S)
 
     _show(with_control(addresses, key_file, send), as_json=as_json)
 
--- a/ringseam/config.py
+++ b/ringseam/config.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ringseam.errors import Finding, FindingsError
-from ringseam.ids import qualified
+from ringseam.ids import qualified_name
 from ringseam.util.ini import Document, Key, Kind, nearest, parse_ini
 
 if TYPE_CHECKING:
@@ -230,19 +230,21 @@
     def _read_accounts_pools_and_grants(self, part: PartFile) -> None:
         for name, keys in self.sections['account'].items():
             self._check_digest(f'account {name}', 'token_sha256', keys['token_sha256'])
-            full_name = qualified(part.name, name)
+            full_name = qualified_name(part.name, name)
             part.accounts[full_name] = Account(name=full_name, **keys)
         for name, keys in self.sections['pool'].items():
-            full_name = qualified(part.name, name)
+            full_name = qualified_name(part.name, name)
             part.pools[full_name] = Pool(name=full_name, **keys)
         for name, keys in self.sections['grant'].items():
-            part.grants[name] = tuple(qualified(part.name, pool) for pool in keys['pools'] or ())
+            part.grants[name] = tuple(
+                qualified_name(part.name, pool) for pool in keys['pools'] or ()
+            )
             self._check_known(f'grant {name}', 'pools', part.grants[name], part.pools)
 
     def _read_stages(self, part: PartFile) -> None:
         for name, keys in self.sections['stage'].items():
-            full_name = qualified(part.name, name)
-            pool = qualified(part.name, keys.pop('pool') or '')
+            full_name = qualified_name(part.name, name)
+            pool = qualified_name(part.name, keys.pop('pool') or '')
             if pool.startswith(f'{part.name}/'):
                 self._check_known(f'stage {name}', 'pool', (pool,), part.pools)
             part.stages[full_name] = Stage(name=full_name, pool=pool, **keys)
@@ -250,10 +252,10 @@
     def _read_pipelines(self, part: PartFile) -> None:
         for name, keys in self.sections['pipeline'].items():
             section = f'pipeline {name}'
-            full_name = qualified(part.name, name)
-            stages = tuple(qualified(part.name, stage) for stage in keys.pop('stages') or ())
+            full_name = qualified_name(part.name, name)
+            stages = tuple(qualified_name(part.name, stage) for stage in keys.pop('stages') or ())
             accounts = tuple(
-                qualified(part.name, account) for account in keys.pop('accounts') or ()
+                qualified_name(part.name, account) for account in keys.pop('accounts') or ()
             )
             self._check_known(section, 'stages', stages, part.stages)
             self._check_known(section, 'accounts', accounts, part.accounts)
--- a/ringseam/control/applying.py
+++ b/ringseam/control/applying.py
@@ -19,7 +19,7 @@
     ApplyConflict,
     ApplyFindings,
     ApplyForbidden,
-    FindingLine,
+    FindingMessage,
     Redirect,
 )
 
@@ -112,7 +112,7 @@
         presented = hashlib.sha256(request.operator_token.encode()).hexdigest()
         return bool(expected) and hmac.compare_digest(expected, presented)
 
-    def _check(self, request: ApplyRequest) -> tuple[FindingLine, ...]:
+    def _check(self, request: ApplyRequest) -> tuple[FindingMessage, ...]:
         try:
             part = config.read_part(request.text, path=request.path)
         except FindingsError as error:
@@ -128,9 +128,9 @@
     return Redirect(leader=outcome.leader) if isinstance(outcome, NotLeading) else outcome
 
 
-def _finding_lines(findings: list[Finding]) -> tuple[FindingLine, ...]:
+def _finding_lines(findings: list[Finding]) -> tuple[FindingMessage, ...]:
     return tuple(
-        FindingLine(
+        FindingMessage(
             path=finding.path,
             line=finding.line,
             section=finding.section,
--- a/ringseam/control/backenddirectory.py
+++ b/ringseam/control/backenddirectory.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from ringseam.backends import BackendEntry, BackendState, is_visible_change, supersedes
-from ringseam.following import WatchNews
+from ringseam.followmessages import WatchUpdate
 from ringseam.lifetimes import EndedLifetimes, backend_id, name_of, start_ms_of
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendId, BackendReport, GatewayState
-    from ringseam.following import WatchRequest
+    from ringseam.followmessages import WatchRequest
 
 #: Maximum number of removals that are remembered for lagging gateways.
 _MAX_REMOVED = 4096
@@ -159,7 +159,7 @@
         """Return whether every live server has had time to report."""
         return now - self.started > self.silence_timeout_s
 
-    def delta(self, request: WatchRequest, now: float) -> WatchNews:
+    def delta(self, request: WatchRequest, now: float) -> WatchUpdate:
         """Return the changes that the gateway lacks.
 
         Returns the whole directory for another epoch, or when removals that it lacks
@@ -167,7 +167,7 @@
         """
         whole = request.epoch != self.epoch or request.since < self.oldest_removed
         first = 0 if whole else request.since
-        return WatchNews(
+        return WatchUpdate(
             epoch=self.epoch,
             upto=self.change,
             whole=whole,
--- a/ringseam/control/documentservice.py
+++ b/ringseam/control/documentservice.py
@@ -11,24 +11,24 @@
 from ringseam.control.replicamessages import NotLeading
 from ringseam.documents import PART_BYTES, DocumentHistory
 from ringseam.events import Event
-from ringseam.following import (
+from ringseam.followmessages import (
     DOCUMENT_PART,
     READ_DOCUMENT,
     SUBMIT,
-    DocumentHeld,
+    AcceptedDocument,
     DocumentPart,
+    DocumentPartReply,
     DocumentReply,
-    NotYet,
-    PartLacking,
-    PartReply,
+    GroupNotReady,
+    PartUnavailable,
 )
 
 if TYPE_CHECKING:
     from ringseam.control.follow import FollowService
-    from ringseam.following import PartRequest, Submit
+    from ringseam.envelopes import ReceivedMessage
+    from ringseam.followmessages import DocumentPartRequest, SubmitRequest
     from ringseam.messages import Redirect
     from ringseam.rpc import CallServer
-    from ringseam.sealing import Received
 
 logger = logging.getLogger(__name__)
 
@@ -57,36 +57,36 @@
         server.add(SUBMIT, self.submit_document)
         server.add(READ_DOCUMENT, self.read_document)
 
-    async def document_part(self, received: Received) -> PartReply:
+    async def document_part(self, received: ReceivedMessage) -> DocumentPartReply:
         """Return a part of an accepted document; any control host that has it can.
 
         Offsets count in the encoded delta from the document that the gateway has, or in
         the encoded whole document if that delta isn't available.
         """
-        request: PartRequest = received.body
-        base = request.held
-        delta = self.history.change(base, request.number)
+        request: DocumentPartRequest = received.body
+        base = request.base
+        delta = self.history.delta(base, request.number)
         if delta is None:
             base = 0
-            delta = self.history.change(base, request.number)
+            delta = self.history.delta(base, request.number)
         if delta is None:
-            return PartReply(reply=PartLacking())
+            return DocumentPartReply(reply=PartUnavailable())
         part = delta[request.offset : request.offset + PART_BYTES]
-        return PartReply(reply=DocumentPart(held=base, total=len(delta), part=part))
+        return DocumentPartReply(reply=DocumentPart(base=base, total=len(delta), part=part))
 
-    async def submit_document(self, received: Received) -> DocumentReply:
+    async def submit_document(self, received: ReceivedMessage) -> DocumentReply:
         """Accept a validated document forwarded by another control host."""
         return DocumentReply(reply=await self.accept(received.body))
 
-    async def accept(self, submit: Submit) -> DocumentHeld | NotYet | Redirect:
+    async def accept(self, submit: SubmitRequest) -> AcceptedDocument | GroupNotReady | Redirect:
         """Commit a document; return once the gateways confirm it or the wait times out."""
         if not self.follow_service.leadership.can_serve:
             return self.follow_service.redirect
         if not self.follow_service.tolerates_losses:
-            return NotYet()
+            return GroupNotReady()
         size = len(submit.document)
         if self.pending_bytes and self.pending_bytes + size > _MAX_PENDING_BYTES:
-            return NotYet()
+            return GroupNotReady()
         started = self.follow_service.node.clock.now()
         self.pending_bytes += size
         try:
@@ -107,13 +107,13 @@
             took_ms=round((self.follow_service.node.clock.now() - started) * MS_PER_S),
             confirmed=self.follow_service.directory.is_confirmed(number=number),
         )
-        return DocumentHeld(number=number)
+        return AcceptedDocument(number=number)
 
-    async def read_document(self, received: Received) -> DocumentReply:
+    async def read_document(self, received: ReceivedMessage) -> DocumentReply:
         """Return the newest document, after a quorum has confirmed the leader."""
         return DocumentReply(reply=await self.read_newest())
 
-    async def read_newest(self) -> DocumentHeld | Redirect:
+    async def read_newest(self) -> AcceptedDocument | Redirect:
         """Return the newest document, after a quorum has confirmed the leader."""
         if not self.follow_service.leadership.can_serve or isinstance(
             await self.follow_service.confirm_leadership(), NotLeading
@@ -121,11 +121,11 @@
             return self.follow_service.redirect
         # Lets this loop run the state updates that the actor scheduled before the barrier.
         await asyncio.sleep(0)
-        return DocumentHeld(
+        return AcceptedDocument(
             number=self.follow_service.state.number, document=self.follow_service.state.document
         )
 
-    async def _commit(self, submit: Submit) -> int | None:
+    async def _commit(self, submit: SubmitRequest) -> int | None:
         """Return the newest number, at least the submitted one; None if not leading.
 
         A document that isn't newer than the accepted one changes nothing: it needs no
--- a/ringseam/control/follow.py
+++ b/ringseam/control/follow.py
@@ -21,13 +21,13 @@
 from ringseam.control.state import MAX_RETIRED_BACKENDS
 from ringseam.control.zonedraining import ZoneDrainService
 from ringseam.events import Event
-from ringseam.following import (
+from ringseam.followmessages import (
     CONFIRM,
     REPORT_BACKEND,
     WATCH,
-    ReportAnswer,
-    ReportForeign,
-    ReportTaken,
+    ReportAccepted,
+    ReportBackendReply,
+    ReportRejected,
     WatchReply,
 )
 from ringseam.lifetimes import EndedLifetimes, name_of, start_ms_of
@@ -40,11 +40,11 @@
     from ringseam.backends import BackendId, BackendReport
     from ringseam.contents import ContentId
     from ringseam.control.state import RecordedVerdict
-    from ringseam.following import Confirmation, WatchRequest
+    from ringseam.envelopes import ReceivedMessage
+    from ringseam.followmessages import DocumentConfirmation, WatchRequest
     from ringseam.node import Node
     from ringseam.quarantinemessages import QuarantineSnapshot
     from ringseam.rpc import CallServer
-    from ringseam.sealing import Received
 
 logger = logging.getLogger(__name__)
 
@@ -167,7 +167,7 @@
         self.documents.serve(server)
         self.zones.serve(server)
 
-    async def watch(self, received: Received) -> WatchReply:
+    async def watch(self, received: ReceivedMessage) -> WatchReply:
         """Return what has changed for a gateway, once something has or on time-out."""
         request: WatchRequest = received.body
         if not self.leadership.can_serve:
@@ -190,21 +190,21 @@
             ),
         )
 
-    async def record_confirmation(self, received: Received) -> Empty:
+    async def record_confirmation(self, received: ReceivedMessage) -> Empty:
         """Record that a document is in force at a gateway."""
-        confirmation: Confirmation = received.body
+        confirmation: DocumentConfirmation = received.body
         self.directory.record_confirmation(confirmation.gateway.name, confirmation.number)
         self._notify_watchers()
         return Empty()
 
-    async def report(self, received: Received) -> ReportAnswer:
+    async def report(self, received: ReceivedMessage) -> ReportBackendReply:
         """Accept a backend server's report forwarded by another control host."""
-        return ReportAnswer(reply=await self.accept_report(received.body))
+        return ReportBackendReply(reply=await self.accept_report(received.body))
 
     async def accept_report(
         self,
         report: BackendReport,
-    ) -> ReportTaken | ReportForeign | Redirect:
+    ) -> ReportAccepted | ReportRejected | Redirect:
         """Record a backend server's report.
 
         A leave is committed first, and acknowledged once the gateways confirm it or the
@@ -215,7 +215,7 @@
         if not start_ms_of(report.instance):
             identified = self.directory.with_lifetime(report, self.node.clock.wall_ms())
             if identified is None:
-                return ReportForeign()
+                return ReportRejected()
             report = identified
         leaving = report.state is not BackendState.ready
         if leaving and report.instance not in self.retired:
@@ -235,7 +235,7 @@
                 state=report.state.value,
                 confirmed=self.directory.is_confirmed(change=change),
             )
-        return ReportTaken(report_to=self.report_to)
+        return ReportAccepted(report_to=self.report_to)
 
     async def run_expiry(self) -> None:
         """Remove silent servers and gateways at intervals."""
--- a/ringseam/control/openinterface.py
+++ b/ringseam/control/openinterface.py
@@ -11,15 +11,15 @@
 from ringseam.clock import MS_PER_S
 from ringseam.errors import FindingsError, UnreachableError
 from ringseam.events import Event
-from ringseam.following import (
+from ringseam.followmessages import (
     ORDER_ZONE,
     READ_DOCUMENT,
     REPORT_BACKEND,
     SUBMIT,
-    DocumentHeld,
-    ReportForeign,
-    ReportTaken,
-    Submit,
+    AcceptedDocument,
+    ReportAccepted,
+    ReportRejected,
+    SubmitRequest,
 )
 from ringseam.messages import Empty, Redirect
 from ringseam.platform.manifest import decode_manifest
@@ -40,7 +40,7 @@
 
     from ringseam.control.follow import FollowService
     from ringseam.controlclient import ControlClient
-    from ringseam.following import ZoneOrder
+    from ringseam.followmessages import ZoneOrder
     from ringseam.metrics import Metrics
     from ringseam.node import Node
     from ringseam.rpc import Method
@@ -147,9 +147,9 @@
         reply = await self._call_leader(
             REPORT_BACKEND, report, self.follow_service.accept_report, timeout_s
         )
-        if isinstance(reply, ReportTaken):
+        if isinstance(reply, ReportAccepted):
             await exchange.respond(_OK, [_JSON], encode_accepted(reply.report_to))
-        elif isinstance(reply, ReportForeign):
+        elif isinstance(reply, ReportRejected):
             await self._refuse_report(exchange, name, 'its server tells when it started')
         else:
             await exchange.respond(_UNAVAILABLE, [])
@@ -186,11 +186,11 @@
         except FindingsError as error:
             await self._refuse_document(exchange, [str(finding) for finding in error.findings])
             return
-        submit = Submit(number=manifest.number, document=document)
+        submit = SubmitRequest(number=manifest.number, document=document)
         reply = await self._call_leader(
             SUBMIT, submit, self.follow_service.documents.accept, _SUBMIT_TIMEOUT_S
         )
-        if isinstance(reply, DocumentHeld):
+        if isinstance(reply, AcceptedDocument):
             await exchange.respond(_OK, [_JSON], json_body({}))
         else:
             await exchange.respond(_UNAVAILABLE, [])
@@ -202,7 +202,7 @@
             lambda _: self.follow_service.documents.read_newest(),
             _READ_TIMEOUT_S,
         )
-        if isinstance(reply, DocumentHeld) and reply.number:
+        if isinstance(reply, AcceptedDocument) and reply.number:
             await exchange.respond(_OK, [_JSON], reply.document)
         else:
             await exchange.respond(_UNAVAILABLE, [])
@@ -285,7 +285,7 @@
         self.leader_client.addresses = self.peer_addresses()
         self.leader_client.leader = reply.leader
         try:
-            return await self.leader_client.ask_leader(method, message, timeout_s=timeout_s)
+            return await self.leader_client.call_leader(method, message, timeout_s=timeout_s)
         except UnreachableError as error:
             logger.debug('no leader answered %s: %s', method.path, error)
             return None
--- a/ringseam/control/peerlinks.py
+++ b/ringseam/control/peerlinks.py
@@ -50,7 +50,7 @@
     async def _run_stream(self, address: str) -> None:
         while True:  # noqa: WPS457 - cancelled when the role ends
             try:
-                await self.client.stream(address, PACKETS, self.queues[address])
+                await self.client.call_client_stream(address, PACKETS, self.queues[address])
             except UnreachableError as error:
                 logger.debug('stream to a peer broke: %s', error)
             await asyncio.sleep(_RECONNECT_S)
--- a/ringseam/control/quarantining.py
+++ b/ringseam/control/quarantining.py
@@ -30,12 +30,12 @@
 
     from ringseam.backends import BackendReport
     from ringseam.control.state import RecordedVerdict
+    from ringseam.envelopes import ReceivedMessage
     from ringseam.lifetimes import BackendId
     from ringseam.messages import Redirect
     from ringseam.node import Node
     from ringseam.quarantinemessages import CrashReport, ServedReport, ServerCrash, TrialRequest
     from ringseam.rpc import CallServer
-    from ringseam.sealing import Received
 
 logger = logging.getLogger(__name__)
 
@@ -93,7 +93,7 @@
         server.add(REPORT_SERVED, self.handle_served)
         server.add(TRIAL, self.handle_trial)
 
-    async def handle_crashes(self, received: Received) -> EvidenceReply:
+    async def handle_crashes(self, received: ReceivedMessage) -> EvidenceReply:
         """Record which contents were in flight on servers that crashed."""
         redirect = self.redirect()
         if redirect is not None:
@@ -103,7 +103,7 @@
             self._record_crash(crash)
         return EvidenceReply(reply=Heard())
 
-    async def handle_served(self, received: Received) -> EvidenceReply:
+    async def handle_served(self, received: ReceivedMessage) -> EvidenceReply:
         """Record that a server answered a content: it doesn't crash this version."""
         redirect = self.redirect()
         if redirect is not None:
@@ -113,7 +113,7 @@
             self.quarantine.record_answer(served.content, served.software, self.node.clock.now())
         return EvidenceReply(reply=Heard())
 
-    async def handle_trial(self, received: Received) -> TrialReply:
+    async def handle_trial(self, received: ReceivedMessage) -> TrialReply:
         """Return whether a suspected content may run now, or record that its run is over."""
         redirect = self.redirect()
         if redirect is not None:
--- a/ringseam/control/role.py
+++ b/ringseam/control/role.py
@@ -34,7 +34,7 @@
     TransferLeadership,
 )
 from ringseam.controlclient import ControlClient
-from ringseam.deltas import DeltaReply
+from ringseam.directorymessages import DirectoryDeltaReply
 from ringseam.events import Event
 from ringseam.holder import ConfigHolder
 from ringseam.ids import split_address
@@ -54,13 +54,13 @@
     COMMAND,
     CONFIG,
     DELTA,
-    FIRST_CONFIG,
     LEASE,
+    READ_CONFIG,
     REPORT,
     STATUS,
     CommandReply,
-    FirstConfigReply,
     LeaseReply,
+    ReadConfigReply,
 )
 from ringseam.shares import LEASE_S, ShareLeases
 from ringseam.util.actors import ask
@@ -71,7 +71,7 @@
     from ringseam.control.peermessages import HelloRequest
     from ringseam.control.raftlog import Packet
     from ringseam.control.state import StateMachine
-    from ringseam.sealing import Received
+    from ringseam.envelopes import ReceivedMessage
     from ringseam.settings import Settings
 
 logger = logging.getLogger(__name__)
@@ -205,11 +205,11 @@
 
     # -- RPC methods --------------------------------------------------------
 
-    def deliver_packet(self, received: Received) -> None:
+    def deliver_packet(self, received: ReceivedMessage) -> None:
         """Pass a peer's messages to the replica."""
         self.actor.tell(Deliver(packet=received.body, address=received.address))
 
-    async def hello(self, received: Received) -> HelloReply:
+    async def hello(self, received: ReceivedMessage) -> HelloReply:
         """Describe this replica and record the caller's data folder if it may join."""
         request: HelloRequest = received.body
         if self._may_join(request):
@@ -222,26 +222,26 @@
             members=tuple(member.address for member in status.members),
         )
 
-    async def command(self, received: Received) -> CommandReply:
+    async def command(self, received: ReceivedMessage) -> CommandReply:
         """Commit a ledger or token command."""
         outcome = await self._commit(received.body.command)
         return CommandReply(reply=redirect_if_not_leading(outcome))
 
-    async def first_config(self, received: Received) -> FirstConfigReply:
+    async def first_config(self, received: ReceivedMessage) -> ReadConfigReply:
         """Return the configuration by a linearizable read."""
         outcome = await self._ask_replica(ReadBarrier())
         if isinstance(outcome, NotLeading):
-            return FirstConfigReply(reply=redirect_if_not_leading(outcome))
-        config = self.holder.since(0)
-        return FirstConfigReply(reply=ConfigFiles(revision=config.revision, files=config.files))
+            return ReadConfigReply(reply=redirect_if_not_leading(outcome))
+        config = self.holder.changes_since(0)
+        return ReadConfigReply(reply=ConfigFiles(revision=config.revision, files=config.files))
 
-    async def report(self, received: Received) -> ReportReply:
+    async def report(self, received: ReceivedMessage) -> ReportReply:
         """Record an agent's state in the directory."""
         if self.directory.report(received.body, self.node.clock.now()):
             self.node.events.emit(logger, Event.agent_seen, agent=received.body.name)
         return ReportReply()
 
-    async def delta(self, received: Received) -> DeltaReply:
+    async def delta(self, received: ReceivedMessage) -> DirectoryDeltaReply:
         """Return the changes of the agent directory to an entry process."""
         request = received.body
         self.directory.record_process(request.process, self.node.clock.now())
@@ -252,7 +252,7 @@
             zones=self.follow_service.state.zones,
         )
 
-    async def lease(self, received: Received) -> LeaseReply:
+    async def lease(self, received: ReceivedMessage) -> LeaseReply:
         """Grant shares of account limits after a quorum has confirmed this leader."""
         barrier = await self._ask_replica(ReadBarrier())
         if isinstance(barrier, NotLeading):
@@ -264,7 +264,7 @@
         shares = self.shares.grant(request.entry, request.demands, now)
         return LeaseReply(reply=ShareLease(shares=shares, valid_ms=int(LEASE_S * MS_PER_S)))
 
-    async def status(self, received: Received) -> StatusReply:
+    async def status(self, received: ReceivedMessage) -> StatusReply:
         """Return this replica's view of the group and its processes."""
         status: ReplicaStatus = await ask(self.actor, GetReplicaStatus())
         return StatusReply(
@@ -284,7 +284,7 @@
             keys=status.keys,
         )
 
-    async def apply(self, received: Received) -> ApplyReply:
+    async def apply(self, received: ReceivedMessage) -> ApplyReply:
         """Validate and commit the file of a configuration part, or change nothing."""
         barrier = await self._ask_replica(ReadBarrier())
         if isinstance(barrier, NotLeading):
@@ -292,11 +292,11 @@
         return ApplyReply(reply=await self.apply_service.apply(received.body))
 
     def _register_methods(self) -> None:
-        self.server.add_stream(PACKETS, self.deliver_packet)
+        self.server.add_client_stream(PACKETS, self.deliver_packet)
         self.server.add(HELLO, self.hello)
         self.server.add(COMMAND, self.command)
-        self.server.add(CONFIG, self.holder.answer)
-        self.server.add(FIRST_CONFIG, self.first_config)
+        self.server.add(CONFIG, self.holder.serve_changes)
+        self.server.add(READ_CONFIG, self.first_config)
         self.server.add(APPLY, self.apply)
         self.server.add(REPORT, self.report)
         self.server.add(DELTA, self.delta)
@@ -360,7 +360,7 @@
             await asyncio.sleep(interval)
 
     def _apply_config(self, revision: int, files: tuple[AcceptedFile, ...]) -> None:
-        self.holder.take(ConfigReply(revision=revision, files=files))
+        self.holder.apply(ConfigReply(revision=revision, files=files))
 
     def _fail(self, detail: str) -> None:
         self.failure = detail
--- a/ringseam/control/zonedraining.py
+++ b/ringseam/control/zonedraining.py
@@ -11,14 +11,14 @@
 from ringseam.control.documentservice import CONFIRM_TIMEOUT_S
 from ringseam.control.replicamessages import NotLeading
 from ringseam.events import Event
-from ringseam.following import ORDER_ZONE, READ_ZONES, NotYet, ZonesReply
+from ringseam.followmessages import ORDER_ZONE, READ_ZONES, GroupNotReady, ZonesReply
 
 if TYPE_CHECKING:
     from ringseam.control.follow import FollowService
-    from ringseam.following import ZoneOrder
+    from ringseam.envelopes import ReceivedMessage
+    from ringseam.followmessages import ZoneOrder
     from ringseam.messages import Redirect
     from ringseam.rpc import CallServer
-    from ringseam.sealing import Received
     from ringseam.zones import DrainedZones
 
 logger = logging.getLogger(__name__)
@@ -36,15 +36,15 @@
         server.add(ORDER_ZONE, self.handle_order)
         server.add(READ_ZONES, self.handle_read)
 
-    async def handle_order(self, received: Received) -> ZonesReply:
+    async def handle_order(self, received: ReceivedMessage) -> ZonesReply:
         """Execute an order forwarded by another control host."""
         return ZonesReply(reply=await self.order(received.body))
 
-    async def handle_read(self, received: Received) -> ZonesReply:
+    async def handle_read(self, received: ReceivedMessage) -> ZonesReply:
         """Return the drained zones to the command line."""
         return ZonesReply(reply=await self.read())
 
-    async def order(self, order: ZoneOrder) -> DrainedZones | NotYet | Redirect:
+    async def order(self, order: ZoneOrder) -> DrainedZones | GroupNotReady | Redirect:
         """Return the drained zones once a majority has written the order to disk.
 
         Also waits, for a limited time, until the order is in force at the gateways. An
@@ -55,7 +55,7 @@
         if not follow_service.leadership.can_serve:
             return follow_service.redirect
         if not follow_service.tolerates_losses:
-            return NotYet()
+            return GroupNotReady()
         started = follow_service.node.clock.now()
         outcome = await follow_service.submit(DrainZone(zone=order.zone, drained=order.drained))
         if not isinstance(outcome, ZoneDrained):
--- a/ringseam/deltas.py
+++ b/ringseam/directorymessages.py
@@ -6,7 +6,7 @@
 from ringseam.zones import DrainedZones
 
 
-class DeltaRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
+class DirectoryDeltaRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
     """Ask for directory changes after ``since`` of directory ``epoch``."""
 
     epoch: str
@@ -14,7 +14,7 @@
     process: ProcessState
 
 
-class DeltaReply(Message, frozen=True, kw_only=True, omit_defaults=True):
+class DirectoryDeltaReply(Message, frozen=True, kw_only=True, omit_defaults=True):
     """Directory changes up to ``upto``; ``whole`` replaces the view."""
 
     epoch: str
--- a/ringseam/documents.py
+++ b/ringseam/documents.py
@@ -1,4 +1,4 @@
-"""Documents as they travel: what changed against a held one, compressed, in parts.
+"""Documents as they travel: what changed against a base one, compressed, in parts.
 
 A document of thousands of routes changes by a few of them at a time, and some
 hosts have links of a few Mbit/s. So a follower is sent the differences against
@@ -25,13 +25,13 @@
 #: elsewhere, in a string say, costs some bytes and nothing else.
 _BOUNDARY = b'},{'
 #: Fast and small enough: 0.8 MB takes 2 ms; level 6 takes 4 ms for 14% less.
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 _DIGEST_BYTES = 16
 #: Documents that are kept to send differences against: changes come in bursts of
 #: ten or so, and a follower that is further behind is sent the whole document.
-_KEPT = 12
+_MAX_KEPT = 12
 #: And their bytes beside the newest one, a twentieth of a host of 300 MB.
-_KEPT_BYTES = 16 * 2**20
+_MAX_OLDER_BYTES = 16 * 2**20
 #: Bytes of one part; 0.1 s on a link of 5 Mbit/s.
 PART_BYTES = 64 * 1024
 
@@ -40,65 +40,65 @@
     """A change doesn't fit the document that it was applied to."""
 
 
-class Copied(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Pieces that the held document has, from one of them on."""
+class CopySegments(msgspec.Struct, frozen=True, array_like=True, tag='Copied'):
+    """Pieces that the base document has, from one of them on."""
 
     first: int
     count: int
 
 
-class Written(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Pieces that the held document doesn't have."""
+class InsertSegments(msgspec.Struct, frozen=True, array_like=True, tag='Written'):
+    """Pieces that the base document doesn't have."""
 
-    pieces: list[bytes]
+    segments: list[bytes]
 
 
-class Change(msgspec.Struct, frozen=True, array_like=True):
-    """How to make a document from a held one; the digest is of the result."""
+class DocumentDelta(msgspec.Struct, frozen=True, array_like=True):
+    """How to make a document from a base one; the digest is of the result."""
 
     digest: bytes
-    steps: list[Union[Copied, Written]]
+    operations: list[Union[CopySegments, InsertSegments]]
 
 
-_DECODER = msgspec.msgpack.Decoder(Change)
+_DECODER = msgspec.msgpack.Decoder(DocumentDelta)
 
 
-def encode_change(held: bytes, document: bytes) -> bytes:
-    """Return what makes ``document`` from ``held``; nothing held: all of it."""
-    pieces = _cut(held) if held else []
-    known = {piece: number for number, piece in enumerate(pieces)}
-    steps: list[Union[Copied, Written]] = []
-    following = 0
-    for piece in _cut(document):
-        number = known.get(piece)
-        # Routes have pieces in common: the one after the last copied goes first.
-        if following < len(pieces) and pieces[following] == piece:
-            number = following
-        _add_step(steps, piece, number)
-        if number is not None:
-            following = number
-        following += 1
-    change = Change(digest=_digest(document), steps=steps)
-    return zlib.compress(msgspec.msgpack.encode(change), _LEVEL)
+def encode_delta(base: bytes, document: bytes) -> bytes:
+    """Return what makes ``document`` from ``base``; nothing base: all of it."""
+    segments = _split(base) if base else []
+    known = {segment: index for index, segment in enumerate(segments)}
+    operations: list[Union[CopySegments, InsertSegments]] = []
+    next_index = 0
+    for segment in _split(document):
+        index = known.get(segment)
+        # Routes have segments in common: the one after the last copied goes first.
+        if next_index < len(segments) and segments[next_index] == segment:
+            index = next_index
+        _add_operation(operations, segment, index)
+        if index is not None:
+            next_index = index
+        next_index += 1
+    delta = DocumentDelta(digest=_digest(document), operations=operations)
+    return zlib.compress(msgspec.msgpack.encode(delta), _COMPRESSION_LEVEL)
 
 
-def decode_change(held: bytes, change: bytes) -> bytes:
-    """Return the document that a change makes from ``held``.
+def apply_delta(base: bytes, delta: bytes) -> bytes:
+    """Return the document that a change makes from ``base``.
 
     :raises DocumentError: when it can't be read, or was made for another one.
     """
     try:
-        decoded = _DECODER.decode(zlib.decompress(change))
+        decoded = _DECODER.decode(zlib.decompress(delta))
     except (zlib.error, msgspec.MsgspecError) as error:
         raise DocumentError(f'change can not be read: {error}') from None
-    pieces = _cut(held) if held else []
-    made: list[bytes] = []
-    for step in decoded.steps:
-        if isinstance(step, Copied):
-            made.extend(pieces[step.first : step.first + step.count])
+    segments = _split(base) if base else []
+    result_segments: list[bytes] = []
+    for operation in decoded.operations:
+        if isinstance(operation, CopySegments):
+            result_segments.extend(segments[operation.first : operation.first + operation.count])
         else:
-            made.extend(step.pieces)
-    document = _BOUNDARY.join(made)
+            result_segments.extend(operation.segments)
+    document = _BOUNDARY.join(result_segments)
     if _digest(document) != decoded.digest:
         raise DocumentError('change was made for another document')
     return document
@@ -106,53 +106,55 @@
 
 @dataclass(kw_only=True)
 class DocumentHistory:
-    """The newest documents by number, and the changes that were asked for."""
+    """The newest documents by number, and the deltas that were asked for."""
 
     documents: OrderedDict[int, bytes] = field(default_factory=OrderedDict)
-    changes: OrderedDict[tuple[int, int], bytes] = field(default_factory=OrderedDict)
+    deltas: OrderedDict[tuple[int, int], bytes] = field(default_factory=OrderedDict)
 
     def add(self, number: int, document: bytes) -> None:
         """Keep a document; numbers only go up."""
         self.documents[number] = document
-        while len(self.documents) > _KEPT or self._older_bytes() > _KEPT_BYTES:
+        while len(self.documents) > _MAX_KEPT or self._older_bytes() > _MAX_OLDER_BYTES:
             self.documents.popitem(last=False)
 
-    def change(self, held: int, number: int) -> bytes | None:
-        """Return what makes document ``number`` from document ``held``.
+    def delta(self, base: int, number: int) -> bytes | None:
+        """Return what makes document ``number`` from document ``base``.
 
         None when either is not here. Followers ask for the same ones at the
         same time, so the latest are kept.
         """
-        if number not in self.documents or (held and held not in self.documents):
+        if number not in self.documents or (base and base not in self.documents):
             return None
-        asked = (held, number)
-        if asked not in self.changes:
-            before = self.documents.get(held, b'')
-            self.changes[asked] = encode_change(before, self.documents[number])
-        self.changes.move_to_end(asked)
-        while len(self.changes) > _KEPT:
-            self.changes.popitem(last=False)
-        return self.changes[asked]
+        key = (base, number)
+        if key not in self.deltas:
+            before = self.documents.get(base, b'')
+            self.deltas[key] = encode_delta(before, self.documents[number])
+        self.deltas.move_to_end(key)
+        while len(self.deltas) > _MAX_KEPT:
+            self.deltas.popitem(last=False)
+        return self.deltas[key]
 
     def _older_bytes(self) -> int:
         sizes = [len(document) for document in self.documents.values()]
         return sum(sizes[:-1])
 
 
-def _add_step(steps: list[Union[Copied, Written]], piece: bytes, number: int | None) -> None:
-    last = steps[-1] if steps else None
-    if number is None:
-        if not isinstance(last, Written):
-            last = Written(pieces=[])
-            steps.append(last)
-        last.pieces.append(piece)
-    elif isinstance(last, Copied) and last.first + last.count == number:
-        steps[-1] = Copied(first=last.first, count=last.count + 1)
+def _add_operation(
+    operations: list[Union[CopySegments, InsertSegments]], segment: bytes, index: int | None
+) -> None:
+    last = operations[-1] if operations else None
+    if index is None:
+        if not isinstance(last, InsertSegments):
+            last = InsertSegments(segments=[])
+            operations.append(last)
+        last.segments.append(segment)
+    elif isinstance(last, CopySegments) and last.first + last.count == index:
+        operations[-1] = CopySegments(first=last.first, count=last.count + 1)
     else:
-        steps.append(Copied(first=number, count=1))
+        operations.append(CopySegments(first=index, count=1))
 
 
-def _cut(document: bytes) -> list[bytes]:
+def _split(document: bytes) -> list[bytes]:
     return document.split(_BOUNDARY)
 
 
--- a/ringseam/sealing.py
+++ b/ringseam/envelopes.py
@@ -32,10 +32,10 @@
     wall: int
     counter: int
     body: bytes
-    seal: bytes = b''
+    mac: bytes = b''
 
 
-class Received(msgspec.Struct, frozen=True):
+class ReceivedMessage(msgspec.Struct, frozen=True):
     """A message that was opened, with its envelope's header."""
 
     sender: str
@@ -45,7 +45,7 @@
     body: Any
 
 
-class SealedCodec(CodecBase):
+class AuthenticatedCodec(CodecBase):
     """Encode messages into sealed envelopes and open them again."""
 
     __content_subtype__ = 'ringseam'
@@ -53,31 +53,31 @@
     def __init__(self, *, node: Node) -> None:
         """Seal with the cluster key of ``node``."""
         self.node = node
-        self.decoders: dict[Any, msgspec.msgpack.Decoder[Any]] = {}
-        self.envelopes = msgspec.msgpack.Decoder(Envelope)
+        self.body_decoders: dict[Any, msgspec.msgpack.Decoder[Any]] = {}
+        self.envelope_decoder = msgspec.msgpack.Decoder(Envelope)
 
     def encode(self, message: Any, message_type: Any) -> bytes:
         """Return the sealed envelope of ``message``."""
         node = self.node
-        wall, counter = node.hybrid.tick()
+        wall, counter = node.hybrid_clock.tick()
         body = msgspec.msgpack.encode(message)
-        head = (node.name, node.address, node.group, node.revision, wall, counter)
-        return msgspec.msgpack.encode(Envelope(*head, body, self.seal(head, body)))
+        header = (node.name, node.address, node.group, node.revision, wall, counter)
+        return msgspec.msgpack.encode(Envelope(*header, body, self.compute_mac(header, body)))
 
-    def decode(self, raw: bytes, message_type: Any) -> Received:
+    def decode(self, raw: bytes, message_type: Any) -> ReceivedMessage:
         """Open an envelope.
 
         :raises StrangerError: when the seal or the shape is wrong.
         """
         try:
-            envelope = self.envelopes.decode(raw)
-            self._check(envelope)
-            body = self._decoder(message_type).decode(envelope.body)
+            envelope = self.envelope_decoder.decode(raw)
+            self._verify(envelope)
+            body = self._body_decoder(message_type).decode(envelope.body)
         except msgspec.MsgspecError as error:
             raise StrangerError(f'malformed message: {error}') from None
-        self.node.hybrid.observe(envelope.wall, envelope.counter)
-        self._compare(envelope)
-        return Received(
+        self.node.hybrid_clock.observe(envelope.wall, envelope.counter)
+        self._update_node(envelope)
+        return ReceivedMessage(
             envelope.sender,
             envelope.address,
             envelope.group,
@@ -85,14 +85,14 @@
             body,
         )
 
-    def seal(self, head: tuple[Any, ...], body: bytes) -> bytes:
+    def compute_mac(self, header: tuple[Any, ...], body: bytes) -> bytes:
         """Return the keyed digest over header and body."""
         digest = hashlib.blake2b(body, key=self.node.secret, digest_size=_DIGEST_BYTES)
-        digest.update(repr(head).encode())
+        digest.update(repr(header).encode())
         return digest.digest()
 
-    def _check(self, envelope: Envelope) -> None:
-        head = (
+    def _verify(self, envelope: Envelope) -> None:
+        header = (
             envelope.sender,
             envelope.address,
             envelope.group,
@@ -100,18 +100,18 @@
             envelope.wall,
             envelope.counter,
         )
-        if not hmac.compare_digest(envelope.seal, self.seal(head, envelope.body)):
+        if not hmac.compare_digest(envelope.mac, self.compute_mac(header, envelope.body)):
             raise StrangerError('wrong cluster key')
         if envelope.group and self.node.group and envelope.group != self.node.group:
             raise StrangerError(f'message of another group: {envelope.group}')
 
-    def _compare(self, envelope: Envelope) -> None:
+    def _update_node(self, envelope: Envelope) -> None:
         if envelope.group and self.node.adopts_group and not self.node.group:
             self.node.group = envelope.group
-        if envelope.revision > self.node.revision and self.node.on_newer:
-            self.node.on_newer(envelope.revision, envelope.address)
+        if envelope.revision > self.node.revision and self.node.on_newer_revision:
+            self.node.on_newer_revision(envelope.revision, envelope.address)
 
-    def _decoder(self, message_type: Any) -> msgspec.msgpack.Decoder[Any]:
-        if message_type not in self.decoders:
-            self.decoders[message_type] = msgspec.msgpack.Decoder(message_type)
-        return self.decoders[message_type]
+    def _body_decoder(self, message_type: Any) -> msgspec.msgpack.Decoder[Any]:
+        if message_type not in self.body_decoders:
+            self.body_decoders[message_type] = msgspec.msgpack.Decoder(message_type)
+        return self.body_decoders[message_type]
--- a/ringseam/following.py
+++ b/ringseam/followmessages.py
@@ -4,6 +4,8 @@
 
 from typing import Optional, Union
 
+import msgspec
+
 from ringseam.backends import BackendId, BackendReport, GatewayState
 from ringseam.messages import Empty, Message, Redirect, Tagged
 from ringseam.quarantinemessages import QuarantineSnapshot
@@ -30,14 +32,14 @@
     zones: int = 0
 
 
-class Confirmation(Message, frozen=True, kw_only=True):
+class DocumentConfirmation(Message, frozen=True, kw_only=True):
     """A document is in force at a gateway, whose watch is still open."""
 
     gateway: GatewayState
     number: int
 
 
-class WatchNews(Tagged, frozen=True, kw_only=True, omit_defaults=True):
+class WatchUpdate(Tagged, frozen=True, kw_only=True, omit_defaults=True, tag='WatchNews'):
     """What is newer; ``whole`` says that the reports are all there are."""
 
     epoch: str
@@ -60,66 +62,66 @@
 class WatchReply(Message, frozen=True, kw_only=True):
     """News, or where the leader may be."""
 
-    reply: Union[WatchNews, Redirect]
+    reply: Union[WatchUpdate, Redirect]
 
 
-class PartRequest(Message, frozen=True, kw_only=True):
+class DocumentPartRequest(Message, frozen=True, kw_only=True):
     """Ask for a part of what makes document ``number`` from document ``held``."""
 
     number: int
-    held: int
+    base: int = msgspec.field(name='held')
     offset: int
 
 
 class DocumentPart(Tagged, frozen=True, kw_only=True, omit_defaults=True):
     """A part of a change against document ``held``; 0: against nothing."""
 
-    held: int
+    base: int = msgspec.field(name='held')
     total: int
     part: bytes
 
 
-class PartLacking(Tagged, frozen=True, kw_only=True):
+class PartUnavailable(Tagged, frozen=True, kw_only=True, tag='PartLacking'):
     """The host doesn't hold that document."""
 
 
-class PartReply(Message, frozen=True, kw_only=True):
+class DocumentPartReply(Message, frozen=True, kw_only=True):
     """A part of a document, or why there is none."""
 
-    reply: Union[DocumentPart, PartLacking]
+    reply: Union[DocumentPart, PartUnavailable]
 
 
-class ReportTaken(Tagged, frozen=True, kw_only=True, omit_defaults=True):
+class ReportAccepted(Tagged, frozen=True, kw_only=True, omit_defaults=True, tag='ReportTaken'):
     """The report is in the directory; ``report_to`` is the leader's address."""
 
     report_to: str = ''
 
 
-class ReportForeign(Tagged, frozen=True, kw_only=True):
+class ReportRejected(Tagged, frozen=True, kw_only=True, tag='ReportForeign'):
     """Nothing was changed: the report isn't one of the server that it names."""
 
 
-class ReportAnswer(Message, frozen=True, kw_only=True):
+class ReportBackendReply(Message, frozen=True, kw_only=True):
     """Acknowledgement of a report, why there is none, or where the leader may be."""
 
-    reply: Union[ReportTaken, ReportForeign, Redirect]
+    reply: Union[ReportAccepted, ReportRejected, Redirect]
 
 
-class Submit(Message, frozen=True, kw_only=True):
+class SubmitRequest(Message, frozen=True, kw_only=True):
     """Accept a checked document under its number."""
 
     number: int
     document: bytes
 
 
-class DocumentHeld(Tagged, frozen=True, kw_only=True, omit_defaults=True):
+class AcceptedDocument(Tagged, frozen=True, kw_only=True, omit_defaults=True, tag='DocumentHeld'):
     """The newest accepted document; empty in answers to a submit."""
 
     number: int
     document: bytes = b''
 
 
-class NotYet(Tagged, frozen=True, kw_only=True):
+class GroupNotReady(Tagged, frozen=True, kw_only=True, tag='NotYet'):
     """Nothing was changed: the group can't bear its losses yet."""
 
 
@@ -133,20 +135,20 @@
 class ZonesReply(Message, frozen=True, kw_only=True):
     """The drained zones, or why an order was not taken."""
 
-    reply: Union[DrainedZones, NotYet, Redirect]
+    reply: Union[DrainedZones, GroupNotReady, Redirect]
 
 
 class DocumentReply(Message, frozen=True, kw_only=True):
     """The newest document, or why there is none."""
 
-    reply: Union[DocumentHeld, NotYet, Redirect]
+    reply: Union[AcceptedDocument, GroupNotReady, Redirect]
 
 
 WATCH = Method('/ringseam.Follow/Watch', WatchRequest, WatchReply)
-CONFIRM = Method('/ringseam.Follow/Confirm', Confirmation, Empty)
-DOCUMENT_PART = Method('/ringseam.Follow/DocumentPart', PartRequest, PartReply)
-REPORT_BACKEND = Method('/ringseam.Follow/ReportBackend', BackendReport, ReportAnswer)
-SUBMIT = Method('/ringseam.Follow/Submit', Submit, DocumentReply)
+CONFIRM = Method('/ringseam.Follow/Confirm', DocumentConfirmation, Empty)
+DOCUMENT_PART = Method('/ringseam.Follow/DocumentPart', DocumentPartRequest, DocumentPartReply)
+REPORT_BACKEND = Method('/ringseam.Follow/ReportBackend', BackendReport, ReportBackendReply)
+SUBMIT = Method('/ringseam.Follow/SubmitRequest', SubmitRequest, DocumentReply)
 ORDER_ZONE = Method('/ringseam.Follow/OrderZone', ZoneOrder, ZonesReply)
 READ_ZONES = Method('/ringseam.Follow/ReadZones', Empty, ZonesReply)
 READ_DOCUMENT = Method('/ringseam.Follow/ReadDocument', Empty, DocumentReply)
--- a/ringseam/gateway/engines/client.py
+++ b/ringseam/gateway/engines/client.py
@@ -28,6 +28,7 @@
     from collections.abc import Collection
 
     from ringseam.backends import BackendReport
+    from ringseam.envelopes import ReceivedMessage
     from ringseam.gateway.engines.placement import Placement
     from ringseam.gateway.following.follower import Follower
     from ringseam.gateway.following.health import HealthTracker
@@ -37,7 +38,6 @@
     from ringseam.node import Node
     from ringseam.routes import BackendService
     from ringseam.rpc import CallClient
-    from ringseam.sealing import Received
 
 logger = logging.getLogger(__name__)
 
@@ -135,7 +135,7 @@
 
     # -- calls of other gateways --------------------------------------------
 
-    async def serve_place(self, received: Received) -> PlaceReply:
+    async def serve_place(self, received: ReceivedMessage) -> PlaceReply:
         """Place a request for another gateway."""
         query: PlaceRequest = received.body
         self.turns.merge_limits(query.limits)
@@ -145,7 +145,7 @@
         instance = choice.engine.instance if choice.engine else ''
         return PlaceReply(instance=instance, wait_s=choice.wait_s)
 
-    async def serve_progress(self, received: Received) -> Empty:
+    async def serve_progress(self, received: ReceivedMessage) -> Empty:
         """Apply a progress report of another gateway."""
         self._apply_progress(received.body)
         return Empty()
--- a/ringseam/gateway/following/documentfetch.py
+++ b/ringseam/gateway/following/documentfetch.py
@@ -5,9 +5,9 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ringseam.documents import PART_BYTES, DocumentError, decode_change
+from ringseam.documents import PART_BYTES, DocumentError, apply_delta
 from ringseam.errors import UnreachableError
-from ringseam.following import DOCUMENT_PART, DocumentPart, PartRequest
+from ringseam.followmessages import DOCUMENT_PART, DocumentPart, DocumentPartRequest
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -67,17 +67,17 @@
             part = await self._fetch_part(host)
             if part is None:
                 return False
-            if part.held != self.base_number:
+            if part.base != self.base_number:
                 # The host lacks the document in use here, so it sends the new one in full.
-                self._reset(part.held)
+                self._reset(part.base)
                 continue
             total = part.total
             self.received_bytes += part.part
         return True
 
     async def _fetch_part(self, host: str) -> DocumentPart | None:
-        request = PartRequest(
-            number=self.number, held=self.base_number, offset=len(self.received_bytes)
+        request = DocumentPartRequest(
+            number=self.number, base=self.base_number, offset=len(self.received_bytes)
         )
         limit_s = _PART_OVERHEAD_S + PART_BYTES / _SLOWEST_BYTES_PER_S
         try:
@@ -98,7 +98,7 @@
         if not base_matches:
             return None
         try:
-            return decode_change(base, received_bytes)
+            return apply_delta(base, received_bytes)
         except DocumentError as error:
             logger.warning(
                 'document %s could not be decoded and is fetched again: %s', self.number, error
--- a/ringseam/gateway/following/follower.py
+++ b/ringseam/gateway/following/follower.py
@@ -13,7 +13,7 @@
 from ringseam.clock import MS_PER_S
 from ringseam.errors import FindingsError, UnreachableError
 from ringseam.events import Event
-from ringseam.following import CONFIRM, WATCH, Confirmation, WatchNews, WatchRequest
+from ringseam.followmessages import CONFIRM, WATCH, DocumentConfirmation, WatchRequest, WatchUpdate
 from ringseam.gateway.following.coldservers import ColdServers
 from ringseam.gateway.following.confinement import Confinement
 from ringseam.gateway.following.documentfetch import DocumentFetcher
@@ -127,7 +127,9 @@
         if not bounds:
             return None
         regions = frozenset.intersection(*bounds)
-        return frozenset(zone for zone, region in self.node.zones.items() if region in regions)
+        return frozenset(
+            zone for zone, region in self.node.zone_regions.items() if region in regions
+        )
 
     def serving(
         self,
@@ -169,7 +171,7 @@
             if not await self._watch(address):
                 await asyncio.sleep(_RETRY_DELAY_S)
 
-    def apply(self, news: WatchNews) -> None:
+    def apply(self, news: WatchUpdate) -> None:
         """Apply the changes in a watch reply that are newer than the local state."""
         if news.number > self.newest_number:
             self.newest_number = news.number
@@ -250,14 +252,14 @@
             self._mark_disconnected(address, str(error))
             return False
         reply = received.body.reply
-        if isinstance(reply, WatchNews):
+        if isinstance(reply, WatchUpdate):
             self._mark_connected(address)
             self.apply(reply)
             return True
         self.leader = reply.leader
         return bool(reply.leader)
 
-    def _apply_quarantine(self, news: WatchNews) -> None:
+    def _apply_quarantine(self, news: WatchUpdate) -> None:
         """Apply the verdicts of the leader.
 
         A new leader may lack the latest verdicts of its predecessor; they stay in force until
@@ -296,7 +298,7 @@
             if report.zone in zones and service is not None and service.cold is not None:
                 self.cold_servers.mark_cold(report.instance, now + service.cold.duration_s)
 
-    def _prune(self, news: WatchNews) -> None:
+    def _prune(self, news: WatchUpdate) -> None:
         """Remove servers that a complete directory does not contain."""
         if news.whole:
             self.cursor.pruned_in_epoch = news.epoch
@@ -330,7 +332,7 @@
         """Confirm the document to the leader, which may delay an acknowledgement for this."""
         if not self.leader:
             return
-        confirmation = Confirmation(gateway=self.state, number=self.table.number)
+        confirmation = DocumentConfirmation(gateway=self.state, number=self.table.number)
         try:
             await self.client.call(self.leader, CONFIRM, confirmation, timeout_s=_CONFIRM_S)
         except UnreachableError as error:
--- a/ringseam/gateway/following/serverwords.py
+++ b/ringseam/gateway/following/serverwords.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendId, BackendView
-    from ringseam.calls import AnswerMarks
+    from ringseam.calls import ResponseMetadata
     from ringseam.metrics import Metrics
     from ringseam.node import Node
 
@@ -34,7 +34,7 @@
         #: Servers for which an unreadable limit has been logged.
         self.reported_unreadable: set[BackendId] = set()
 
-    def record(self, instance: BackendId, marks: AnswerMarks) -> None:
+    def record(self, instance: BackendId, marks: ResponseMetadata) -> None:
         """Record the notices in a response; ``instance`` is empty if the server is unknown."""
         if not instance:
             return
@@ -66,7 +66,7 @@
 
     # -- helpers ------------------------------------------------------------
 
-    def _record_limit(self, instance: BackendId, marks: AnswerMarks) -> None:
+    def _record_limit(self, instance: BackendId, marks: ResponseMetadata) -> None:
         was_limited = self.limits.of(instance) is not None
         self.limits.record(instance, marks.limit_per_s, self.clock.now())
         if was_limited == (marks.limit_per_s is not None):
@@ -80,7 +80,7 @@
             request=marks.attempt_id,
         )
 
-    def _record_pause(self, instance: BackendId, marks: AnswerMarks, pause_s: float) -> None:
+    def _record_pause(self, instance: BackendId, marks: ResponseMetadata, pause_s: float) -> None:
         now = self.clock.now()
         is_new = not self.pauses.remaining_s(instance, now)
         self.pauses.record(instance, pause_s, now)
--- a/ringseam/gateway/following/turns.py
+++ b/ringseam/gateway/following/turns.py
@@ -20,13 +20,13 @@
     from collections.abc import Iterable
 
     from ringseam.backends import BackendId, BackendReport
+    from ringseam.envelopes import ReceivedMessage
     from ringseam.gateway.following.follower import Follower
     from ringseam.gateway.following.limits import RateLimit
     from ringseam.gateway.following.ownership import Ownership
     from ringseam.gateway.following.pacing import Pacer
     from ringseam.node import Node
     from ringseam.rpc import CallClient, CallServer
-    from ringseam.sealing import Received
 
 logger = logging.getLogger(__name__)
 
@@ -91,7 +91,7 @@
             self.merge_limits([reply.limit])
         return SendPermit(granted=reply.granted, wait_s=reply.wait_s)
 
-    async def handle_request(self, received: Received) -> PermitReply:
+    async def handle_request(self, received: ReceivedMessage) -> PermitReply:
         """Grant or deny a permit to another gateway."""
         request: PermitRequest = received.body
         instance = request.limit.instance
--- a/ringseam/gateway/requestcontext.py
+++ b/ringseam/gateway/requestcontext.py
@@ -11,7 +11,7 @@
 from ringseam.tries import TryRecord
 
 if TYPE_CHECKING:
-    from ringseam.calls import AnswerMarks, ClientRequest
+    from ringseam.calls import ClientRequest, ResponseMetadata
     from ringseam.contents import ContentId
     from ringseam.routes import Account, Route, ServiceName
     from ringseam.web.client import Channel, ResponseHead
@@ -114,7 +114,7 @@
     """An authentic response head of a backend server; the body is not read yet."""
 
     head: ResponseHead
-    marks: AnswerMarks
+    marks: ResponseMetadata
     channel: Channel
 
 
--- a/ringseam/gateway/stages/client.py
+++ b/ringseam/gateway/stages/client.py
@@ -37,11 +37,11 @@
     from collections.abc import Collection
 
     from ringseam.clock import Clock
+    from ringseam.envelopes import ReceivedMessage
     from ringseam.gateway.following.ownership import Ownership
     from ringseam.gateway.stages.scheduler import PieceScheduler
     from ringseam.routes import ServiceName
     from ringseam.rpc import CallClient
-    from ringseam.sealing import Received
 
 logger = logging.getLogger(__name__)
 
@@ -141,14 +141,14 @@
 
     # -- calls of other gateways --------------------------------------------
 
-    async def serve_waits(self, received: Received) -> WaitsReply:
+    async def serve_waits(self, received: ReceivedMessage) -> WaitsReply:
         """Report to another gateway how long new pieces would wait here."""
         request: WaitsRequest = received.body
         return WaitsReply(
             waits={service: self.scheduler.waits(service) for service in request.services},
         )
 
-    async def serve_pieces(self, received: Received) -> PieceReply:
+    async def serve_pieces(self, received: ReceivedMessage) -> PieceReply:
         """Run pieces for another gateway."""
         request: PieceRequest = received.body
         outcome = await self.scheduler.run(_job_of(request, self.clock.now()))
@@ -159,7 +159,7 @@
             waits=self.scheduler.waits(request.service),
         )
 
-    async def serve_release(self, received: Received) -> Empty:
+    async def serve_release(self, received: ReceivedMessage) -> Empty:
         """Release results for another gateway."""
         request: ReleaseRequest = received.body
         self.scheduler.release(request.service, request.handles)
@@ -206,7 +206,7 @@
 
     async def _wait_for_call(
         self,
-        call: asyncio.Future[Received],
+        call: asyncio.Future[ReceivedMessage],
         owner: str,
     ) -> None:
         """Wait until the call is over or its owner is gone.
--- a/ringseam/model/gateways.py
+++ b/ringseam/model/gateways.py
@@ -9,6 +9,7 @@
 
 from ringseam.backends import BackendView, GatewayState
 from ringseam.control.quarantining import QuarantineService
+from ringseam.envelopes import ReceivedMessage
 from ringseam.errors import UnreachableError
 from ringseam.gateway.engines.client import PlacementClient
 from ringseam.gateway.engines.messages import PLACE, PROGRESS
@@ -31,7 +32,6 @@
 from ringseam.node import Node
 from ringseam.quarantinemessages import QuarantineSnapshot
 from ringseam.retries import WindowRetries
-from ringseam.sealing import Received
 
 if TYPE_CHECKING:
     from ringseam.backends import BackendReport
@@ -100,7 +100,9 @@
         self.handlers: dict[tuple[str, str], Any] = {}
         self.calls = 0
 
-    async def call(self, address: str, method: Any, message: Any, *, timeout_s: float) -> Received:
+    async def call(
+        self, address: str, method: Any, message: Any, *, timeout_s: float
+    ) -> ReceivedMessage:
         """Call a method of another gateway.
 
         :raises UnreachableError: when it isn't there or doesn't answer in time.
@@ -110,7 +112,7 @@
         if handler is None:
             await asyncio.sleep(_REFUSED_S)
             raise UnreachableError(address)
-        received = Received(sender='', address='', group='', revision=0, body=message)
+        received = ReceivedMessage(sender='', address='', group='', revision=0, body=message)
         try:
             async with asyncio.timeout(timeout_s):
                 await asyncio.sleep(self.zone_s)
@@ -118,7 +120,7 @@
                 await asyncio.sleep(self.zone_s)
         except asyncio.TimeoutError:
             raise UnreachableError(f'{address} took too long') from None
-        return Received(sender='', address=address, group='', revision=0, body=body)
+        return ReceivedMessage(sender='', address=address, group='', revision=0, body=body)
 
 
 class ModelLeader:
--- a/ringseam/model/saying.py
+++ b/ringseam/model/saying.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ringseam.calls import AnswerMarks
+from ringseam.calls import ResponseMetadata
 
 
 @dataclass(kw_only=True)
@@ -23,10 +23,10 @@
         self.arrived.append(now)
         return now < self.paused_until
 
-    def marks(self, attempt: str, now: float) -> AnswerMarks:
+    def marks(self, attempt: str, now: float) -> ResponseMetadata:
         """Return the marks of an answer that is given now."""
         pause_s = self.paused_until - now
-        return AnswerMarks(
+        return ResponseMetadata(
             attempt_id=attempt,
             authentic=True,
             not_run=pause_s > 0,
--- a/ringseam/multiplex.py
+++ b/ringseam/multiplex.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
+from ringseam.envelopes import ReceivedMessage
 from ringseam.errors import UnreachableError
 from ringseam.messages import Message
-from ringseam.sealing import Received
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Mapping
@@ -26,9 +26,9 @@
     from grpclib.server import Stream as ServerStream
 
     #: Answers one call.
-    Responder = Callable[[Received], Awaitable[Any]]
+    RequestHandler = Callable[[ReceivedMessage], Awaitable[Any]]
     #: The envelope of what answers a call, and its frame.
-    Answer = tuple[Received, 'Frame']
+    Answer = tuple[ReceivedMessage, 'Frame']
 
 logger = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
             await send(Frames(frames=tuple(frames)))
 
 
-class Link:
+class ClientMultiplexer:
     """The calling side of one stream: who waits for which call."""
 
     def __init__(self) -> None:
@@ -93,7 +93,7 @@
         self.numbers = itertools.count()
         self.waiting: dict[int, asyncio.Future[Answer]] = {}
         #: Why no call can be made any more; empty: they can.
-        self.broken = ''
+        self.closed_reason = ''
 
     async def call(self, path: str, message: Any) -> Answer:
         """Return the envelope and the frame that answer a call.
@@ -127,32 +127,32 @@
 
     def fail(self, detail: str) -> None:
         """Fail all calls that wait, and those to come."""
-        self.broken = detail
+        self.closed_reason = detail
         for future in self.waiting.values():
             if not future.done():
                 future.set_exception(UnreachableError(detail))
 
-    def _take(self, received: Received) -> None:
+    def _take(self, received: ReceivedMessage) -> None:
         for frame in received.body.frames:
             future = self.waiting.get(frame.number)
             if future is not None and not future.done():
                 future.set_result((received, frame))
 
 
-class ServedLink:
+class ServerMultiplexer:
     """The answering side of one stream: the calls in progress."""
 
     def __init__(
         self,
         *,
-        responders: Mapping[str, tuple[Any, Responder]],
+        handlers: Mapping[str, tuple[Any, RequestHandler]],
         drops: Callable[[str], bool],
     ) -> None:
-        """Answer by ``responders``: the request's type and what answers, by path.
+        """Answer by ``handlers``: the request's type and what answers, by path.
 
         :param drops: whether what comes from an address is to be ignored.
         """
-        self.responders = responders
+        self.handlers = handlers
         self.drops = drops
         self.outbox = Outbox()
         self.running: dict[int, asyncio.Task[Any]] = {}
@@ -169,37 +169,37 @@
             for task in self.running.values():
                 task.cancel()
 
-    def _take(self, received: Received) -> None:
+    def _take(self, received: ReceivedMessage) -> None:
         for frame in received.body.frames:
             if frame.kind is FrameKind.call:
-                self._begin(received, frame)
+                self._start(received, frame)
                 continue
             cancelled = self.running.get(frame.number)
             if cancelled is not None:
                 cancelled.cancel()
 
-    def _begin(self, received: Received, frame: Frame) -> None:
-        if frame.path not in self.responders:
+    def _start(self, received: ReceivedMessage, frame: Frame) -> None:
+        if frame.path not in self.handlers:
             self._fail(frame.number, 'no such method')
             return
-        kind, respond = self.responders[frame.path]
+        kind, handle = self.handlers[frame.path]
         try:
             body = msgspec.msgpack.decode(frame.body, type=kind)
         except msgspec.MsgspecError as error:
             self._fail(frame.number, f'malformed request: {error}')
             return
-        request = Received(
+        request = ReceivedMessage(
             received.sender,
             received.address,
             received.group,
             received.revision,
             body,
         )
-        task = asyncio.ensure_future(respond(request))
+        task = asyncio.ensure_future(handle(request))
         self.running[frame.number] = task
-        task.add_done_callback(lambda ended: self._end(frame.number, ended))
+        task.add_done_callback(lambda ended: self._finish(frame.number, ended))
 
-    def _end(self, number: int, task: asyncio.Future[Any]) -> None:
+    def _finish(self, number: int, task: asyncio.Future[Any]) -> None:
         self.running.pop(number, None)
         if task.cancelled():
             return
--- a/ringseam/platform/requests.py
+++ b/ringseam/platform/requests.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from ringseam.calls import AnswerMarks, ClientRequest, PromptPart, ServerLoad
+from ringseam.calls import ClientRequest, PromptPart, ResponseMetadata, ServerLoad
 from ringseam.clock import MS_PER_S
 from ringseam.lifetimes import name_of
 
@@ -128,12 +128,12 @@
     return headers
 
 
-def decode_marks(head: ResponseHead) -> AnswerMarks:
+def decode_marks(head: ResponseHead) -> ResponseMetadata:
     """Return what an answer's headers say."""
     load = _numbers(head.header(_LOAD))
     limit = head.header(_LIMIT)
     limit_per_s = _amount(limit)
-    return AnswerMarks(
+    return ResponseMetadata(
         attempt_id=head.header(_ATTEMPT_ID),
         authentic=bool(head.header(_SEAL)),
         not_run=bool(head.header(_NOT_RUN)) or head.status == _MISDIRECTED,
--- a/ringseam/platform/zones.py
+++ b/ringseam/platform/zones.py
@@ -4,7 +4,7 @@
 
 import types
 
-from ringseam.following import ZoneOrder
+from ringseam.followmessages import ZoneOrder
 from ringseam.util.pathnames import decode_name
 
 _PATH = '/api/evacuate/'
--- a/ringseam/rpc.py
+++ b/ringseam/rpc.py
@@ -18,13 +18,13 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Server
 
-from ringseam.channels import CALL_ERRORS, CONNECT_S, Channels
+from ringseam.channels import CALL_ERRORS, CONNECT_TIMEOUT_S, ChannelPool
+from ringseam.envelopes import AuthenticatedCodec, ReceivedMessage
 from ringseam.errors import StrangerError, UnreachableError
 from ringseam.events import Event
 from ringseam.ids import split_address
 from ringseam.messages import Empty
-from ringseam.multiplex import MULTIPLEX_PATH, Frames, Link, ServedLink
-from ringseam.sealing import Received, SealedCodec
+from ringseam.multiplex import MULTIPLEX_PATH, ClientMultiplexer, Frames, ServerMultiplexer
 from ringseam.util.tasks import TaskSet
 
 if TYPE_CHECKING:
@@ -35,15 +35,15 @@
     from ringseam.node import Node
 
     #: Answers one request.
-    Responder = Callable[['Received'], Awaitable[Any]]
+    RequestHandler = Callable[['ReceivedMessage'], Awaitable[Any]]
     #: Sends one frame of a reply.
     FrameSender = Callable[[Any], Awaitable[None]]
     #: Answers one request by sending frames.
-    FrameResponder = Callable[['Received', FrameSender], Awaitable[None]]
+    StreamHandler = Callable[['ReceivedMessage', FrameSender], Awaitable[None]]
 
 logger = logging.getLogger(__name__)
 
-_DRILL_SILENCE_S = 60
+_DROPPED_CALL_HANG_S = 60
 
 
 class Method(msgspec.Struct, frozen=True):
@@ -64,21 +64,21 @@
         self.node = node
         self.mapping: dict[str, Handler] = {}
         #: What answers multiplexed calls, and the type of their requests, by path.
-        self.responders: dict[str, tuple[Any, Responder]] = {}
+        self.handlers: dict[str, tuple[Any, RequestHandler]] = {}
         self.server: Server | None = None
 
     def add(
         self,
         method: Method,
-        respond: Responder,
+        handle: RequestHandler,
     ) -> None:
-        """Serve ``method`` with ``respond``."""
+        """Serve ``method`` with ``handle``."""
         if method.multiplexed:
-            self._add_multiplexed(method, respond)
+            self._add_multiplexed(method, handle)
             return
 
         async def serve(stream: Stream[Any, Any]) -> None:  # noqa: WPS430
-            await self._serve(stream, respond)
+            await self._serve(stream, handle)
 
         self.mapping[method.path] = Handler(
             serve,
@@ -87,17 +87,17 @@
             method.reply,
         )
 
-    def add_stream(
+    def add_client_stream(
         self,
         method: Method,
-        take: Callable[[Received], None],
+        take: Callable[[ReceivedMessage], None],
     ) -> None:
         """Serve a long stream of requests to ``method`` without replies."""
 
         async def serve(stream: Stream[Any, Any]) -> None:  # noqa: WPS430
             try:
                 async for received in stream:
-                    self._unless_dropped(received, take)
+                    self._handle_unless_dropped(received, take)
             except StrangerError as error:
                 self._refuse(error)
             await stream.send_message(Empty())
@@ -109,10 +109,10 @@
             method.reply,
         )
 
-    def add_frames(
+    def add_server_stream(
         self,
         method: Method,
-        respond: FrameResponder,
+        handle: StreamHandler,
     ) -> None:
         """Serve ``method`` with many frames for one request."""
 
@@ -122,7 +122,7 @@
             except StrangerError as error:
                 self._refuse(error)
             if received is not None:
-                await respond(received, stream.send_message)
+                await handle(received, stream.send_message)
 
         self.mapping[method.path] = Handler(
             serve,
@@ -138,7 +138,7 @@
     async def start(self) -> None:
         """Listen; a port of 0 is replaced by the one that was taken."""
         host, port = split_address(self.node.address)
-        self.server = Server([self], codec=SealedCodec(node=self.node))
+        self.server = Server([self], codec=AuthenticatedCodec(node=self.node))
         await self.server.start(host, port)
         if not port:
             listener = self.server._server  # noqa: WPS437 - no public way
@@ -151,13 +151,13 @@
             self.server.close()
             await self.server.wait_closed()
 
-    def _add_multiplexed(self, method: Method, respond: Responder) -> None:
-        self.responders[method.path] = (method.request, respond)
+    def _add_multiplexed(self, method: Method, handle: RequestHandler) -> None:
+        self.handlers[method.path] = (method.request, handle)
 
         async def serve(stream: Stream[Any, Any]) -> None:  # noqa: WPS430
-            link = ServedLink(responders=self.responders, drops=self.node.drill.drops)
+            multiplexer = ServerMultiplexer(handlers=self.handlers, drops=self.node.drill.drops)
             try:
-                await link.run(stream)
+                await multiplexer.run(stream)
             except StrangerError as error:
                 self._refuse(error)
 
@@ -171,7 +171,7 @@
     async def _serve(
         self,
         stream: Stream[Any, Any],
-        respond: Responder,
+        handle: RequestHandler,
     ) -> None:
         try:
             received = await stream.recv_message()
@@ -180,11 +180,13 @@
         if received is None:
             return
         if self.node.drill.drops(received.address):
-            await asyncio.sleep(_DRILL_SILENCE_S)
+            await asyncio.sleep(_DROPPED_CALL_HANG_S)
             return
-        await stream.send_message(await respond(received))
+        await stream.send_message(await handle(received))
 
-    def _unless_dropped(self, received: Received, take: Callable[[Received], None]) -> None:
+    def _handle_unless_dropped(
+        self, received: ReceivedMessage, take: Callable[[ReceivedMessage], None]
+    ) -> None:
         if not self.node.drill.drops(received.address):
             take(received)
 
@@ -199,9 +201,9 @@
     def __init__(self, *, node: Node) -> None:
         """Call as ``node``."""
         self.node = node
-        self.channels = Channels(node=node)
+        self.channels = ChannelPool(node=node)
         #: Streams of multiplexed calls by address.
-        self.links: dict[str, Link] = {}
+        self.multiplexers: dict[str, ClientMultiplexer] = {}
         self.tasks = TaskSet()
 
     async def call(
@@ -211,7 +213,7 @@
         message: Any,
         *,
         timeout_s: float,
-    ) -> Received:
+    ) -> ReceivedMessage:
         """Call ``method`` at ``address``.
 
         :raises NotSentError: when no connection could be made.
@@ -223,7 +225,7 @@
         if method.multiplexed:
             return await self._call_multiplexed(address, method, message, timeout_s)
         stub = UnaryUnaryMethod(
-            await self.channels.connected(address, timeout_s),
+            await self.channels.connect(address, timeout_s),
             method.path,
             method.request,
             method.reply,
@@ -236,7 +238,7 @@
             detail = f'{method.path} at {address}: {type(error).__name__} {error}'
             raise UnreachableError(detail) from None
 
-    async def call_frames(
+    async def call_server_stream(
         self,
         address: str,
         method: Method,
@@ -251,7 +253,7 @@
         :raises UnreachableError: when the frames broke off or were late.
         """
         stub = UnaryStreamMethod(
-            await self.channels.connected(address, timeout_s),
+            await self.channels.connect(address, timeout_s),
             method.path,
             method.request,
             method.reply,
@@ -265,7 +267,7 @@
             detail = f'{method.path} at {address}: {type(error).__name__} {error}'
             raise UnreachableError(detail) from None
 
-    async def stream(
+    async def call_client_stream(
         self,
         address: str,
         method: Method,
@@ -276,7 +278,7 @@
         :raises UnreachableError: when it does.
         """
         stub = StreamUnaryMethod(
-            await self.channels.connected(address, CONNECT_S),
+            await self.channels.connect(address, CONNECT_TIMEOUT_S),
             method.path,
             method.request,
             method.reply,
@@ -284,7 +286,7 @@
         try:
             async with stub.open() as stream:
                 while True:  # noqa: WPS457 - ends with the connection
-                    await self._pass_on(stream, address, await source.get())
+                    await self._send_unless_dropped(stream, address, await source.get())
         except CALL_ERRORS as error:
             detail = f'{method.path} at {address}: {type(error).__name__} {error}'
             raise UnreachableError(detail) from None
@@ -299,16 +301,16 @@
         method: Method,
         message: Any,
         timeout_s: float,
-    ) -> Received:
+    ) -> ReceivedMessage:
         try:
             async with asyncio.timeout(timeout_s):
-                link = await self._linked(address, timeout_s)
-                received, frame = await link.call(method.path, message)
+                multiplexer = await self._multiplexer(address, timeout_s)
+                received, frame = await multiplexer.call(method.path, message)
                 body = msgspec.msgpack.decode(frame.body, type=method.reply)
         except (asyncio.TimeoutError, msgspec.MsgspecError) as error:
             detail = f'{method.path} at {address}: {type(error).__name__} {error}'
             raise UnreachableError(detail) from None
-        return Received(
+        return ReceivedMessage(
             received.sender,
             received.address,
             received.group,
@@ -316,34 +318,36 @@
             body,
         )
 
-    async def _linked(self, address: str, timeout_s: float) -> Link:
+    async def _multiplexer(self, address: str, timeout_s: float) -> ClientMultiplexer:
         """Return the open stream of multiplexed calls to ``address``.
 
         :raises NotSentError: when no connection could be made.
         """
-        link = self.links.get(address)
-        if link is None or link.broken:
-            channel = await self.channels.connected(address, timeout_s)
-            # Another call may have opened one while this one connected.
-            link = self.links.get(address)
-        if link is None or link.broken:
-            link = Link()
-            self.links[address] = link
-            self.tasks.spawn(self._run_link(address, channel, link))
-        return link
-
-    async def _run_link(self, address: str, channel: Channel, link: Link) -> None:
+        multiplexer = self.multiplexers.get(address)
+        if multiplexer is None or multiplexer.closed_reason:
+            channel = await self.channels.connect(address, timeout_s)
+            # Another call may have opened one while this one connect.
+            multiplexer = self.multiplexers.get(address)
+        if multiplexer is None or multiplexer.closed_reason:
+            multiplexer = ClientMultiplexer()
+            self.multiplexers[address] = multiplexer
+            self.tasks.spawn(self._run_multiplexer(address, channel, multiplexer))
+        return multiplexer
+
+    async def _run_multiplexer(
+        self, address: str, channel: Channel, multiplexer: ClientMultiplexer
+    ) -> None:
         stub = StreamStreamMethod(channel, MULTIPLEX_PATH, Frames, Frames)
         detail = 'the stream ended'
         try:
             async with stub.open() as stream:
                 await stream.send_request()
-                await link.run(stream)
+                await multiplexer.run(stream)
         except CALL_ERRORS as error:
             detail = f'{type(error).__name__} {error}'
         finally:
-            link.fail(f'{address}: {detail}')
+            multiplexer.fail(f'{address}: {detail}')
 
-    async def _pass_on(self, stream: Any, address: str, message: Any) -> None:
+    async def _send_unless_dropped(self, stream: Any, address: str, message: Any) -> None:
         if not self.node.drill.drops(address):
             await stream.send_message(message)
--- a/ringseam/util/logqueue.py
+++ b/ringseam/util/logqueue.py
@@ -9,7 +9,7 @@
 from logging.handlers import QueueHandler, QueueListener
 from typing import TYPE_CHECKING
 
-from ringseam.clock import steady
+from ringseam.clock import boottime
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -85,8 +85,8 @@
 
 def drain(handler: DroppingHandler, *, within_s: float) -> None:
     """Wait until lines are written, a little at most, before a process ends."""
-    until = steady() + within_s
-    while not handler.queue.empty() and steady() < until:
+    until = boottime() + within_s
+    while not handler.queue.empty() and boottime() < until:
         time.sleep(_POLL_S)
 
 
--- a/ringseam/web/server.py
+++ b/ringseam/web/server.py
@@ -14,7 +14,7 @@
 
 import h11
 
-from ringseam.clock import steady
+from ringseam.clock import boottime
 from ringseam.web.bodies import Headers, find_header
 
 if TYPE_CHECKING:
@@ -159,7 +159,7 @@
     def data_received(self, chunk: bytes) -> None:
         """Parse what has arrived."""
         if not self.incoming.begun:
-            self.incoming.begun = steady()
+            self.incoming.begun = boottime()
             self._set_timer(self.server.limits.head_s, self._on_slow_head)
         try:
             self.parser.receive_data(chunk)
@@ -269,7 +269,7 @@
                 for name, text in head.headers.raw_items()
             ],
             body=b''.join(self.incoming.body),
-            arrived=self.incoming.begun or steady(),
+            arrived=self.incoming.begun or boottime(),
         )
         self.task = self.loop.create_task(self._handle(request))
 
@@ -306,7 +306,7 @@
         self.incoming = Incoming()
         self._await_request()
         if self.parser.trailing_data[0]:
-            self.incoming.begun = steady()
+            self.incoming.begun = boottime()
             self._set_timer(self.server.limits.head_s, self._on_slow_head)
         self.pump()
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -14,7 +14,7 @@
 import urllib3
 
 from ringseam.controlclient import ControlClient
-from ringseam.drill import REREAD_S
+from ringseam.drill import REREAD_INTERVAL_S
 from ringseam.layout import Layout
 from ringseam.messages import ApplyRequest, Empty
 from ringseam.node import Node
@@ -90,7 +90,7 @@
                 path.write_text(planned[name].address)
         # Each process reads its file again only now and then; before that, the
         # cut is not in force and messages still pass.
-        time.sleep(2 * REREAD_S)
+        time.sleep(2 * REREAD_INTERVAL_S)
 
     def heal(self):
         for path in self.layout.folder.glob('*.drill'):
@@ -129,7 +129,7 @@
             operator_token=self.layout.operator_token(part),
             path=f'{part}.ini',
         )
-        return self.call(lambda control: control.ask_leader(APPLY, request, timeout_s=timeout_s))
+        return self.call(lambda control: control.call_leader(APPLY, request, timeout_s=timeout_s))
 
     def statuses(self):
         """Return the status of each control host that answers, by name."""
--- a/tests/test_agent/test_agent_orders.py
+++ b/tests/test_agent/test_agent_orders.py
@@ -22,7 +22,7 @@
         self.state_machine = StateMachine()
         self.is_reachable = True
 
-    async def ask_leader(self, method, request, *, timeout_s):
+    async def call_leader(self, method, request, *, timeout_s):
         if not self.is_reachable:
             raise UnreachableError('control is unreachable')
         return self.state_machine.apply(encode_command(request.command))
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -12,7 +12,7 @@
 import pytest
 
 import ringseam
-from ringseam.clock import LONGEST_WAIT_S, RuntimeClock, run_loop, steady
+from ringseam.clock import MAX_SELECT_WAIT_S, RuntimeClock, boottime, run_loop
 from tests.suspension import Suspension
 
 PACKAGE = Path(ringseam.__file__).parent
@@ -47,7 +47,7 @@
         suspended.cancel()
         return time.monotonic() - begun
 
-    assert run_loop(wait()) < 0.01 + 2 * LONGEST_WAIT_S
+    assert run_loop(wait()) < 0.01 + 2 * MAX_SELECT_WAIT_S
 
 
 def test_timeout_that_passed_in_a_suspension_ends_the_wait(suspension):
@@ -84,5 +84,5 @@
 
 
 def test_steady_time_never_goes_back():
-    readings = [steady() for _ in range(1000)]
+    readings = [boottime() for _ in range(1000)]
     assert readings == sorted(readings)
--- a/tests/test_control/test_control_follow.py
+++ b/tests/test_control/test_control_follow.py
@@ -21,23 +21,23 @@
     NotLeading,
     ReadConfirmed,
 )
+from ringseam.envelopes import ReceivedMessage
 from ringseam.errors import UnreachableError
-from ringseam.following import (
-    DocumentHeld,
-    NotYet,
-    ReportForeign,
-    ReportTaken,
-    Submit,
-    WatchNews,
+from ringseam.followmessages import (
+    AcceptedDocument,
+    GroupNotReady,
+    ReportAccepted,
+    ReportRejected,
+    SubmitRequest,
     WatchReply,
     WatchRequest,
+    WatchUpdate,
 )
 from ringseam.gateway.following.follower import Follower
 from ringseam.messages import Redirect
 from ringseam.node import Node
 from ringseam.routes import ServiceName
 from ringseam.rpc import CallClient
-from ringseam.sealing import Received
 
 GATEWAY = GatewayState(name='g1', address='1.1.1.1:1', zone='a')
 LEADING = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
@@ -143,7 +143,7 @@
 
 
 def received(body):
-    return Received('g1', '1.1.1.1:1', '', 0, body)
+    return ReceivedMessage('g1', '1.1.1.1:1', '', 0, body)
 
 
 def test_host_that_does_not_lead_redirects():
@@ -151,7 +151,7 @@
         host = Host(leads=False)
         assert isinstance(await host.service.accept_report(report()), Redirect)
         assert isinstance(
-            await host.service.documents.accept(Submit(number=1, document=b'')), Redirect
+            await host.service.documents.accept(SubmitRequest(number=1, document=b'')), Redirect
         )
         assert isinstance(await host.service.documents.read_newest(), Redirect)
         watch_reply = await host.service.watch(received(request()))
@@ -166,7 +166,7 @@
         leaving = report(state=BackendState.draining)
         assert isinstance(await host.service.accept_report(leaving), Redirect)
         assert isinstance(
-            await host.service.documents.accept(Submit(number=1, document=b'')), Redirect
+            await host.service.documents.accept(SubmitRequest(number=1, document=b'')), Redirect
         )
         assert isinstance(await host.service.documents.read_newest(), Redirect)
 
@@ -178,10 +178,10 @@
 
     async def run():
         host = Host()
-        submit = Submit(number=3, document=b'd')
+        submit = SubmitRequest(number=3, document=b'd')
         assert (await host.service.documents.accept(submit)).number == 3
         again = await asyncio.gather(*(host.service.documents.accept(submit) for _ in range(20)))
-        older = await host.service.documents.accept(Submit(number=2, document=b'other'))
+        older = await host.service.documents.accept(SubmitRequest(number=2, document=b'other'))
         assert {reply.number for reply in [*again, older]} == {3}
         assert len(host.submitted) == 1
         assert host.service.state.document == b'd'
@@ -205,7 +205,9 @@
             return await commit(command)
 
         host.service.submit = submit_once_resumed
-        submissions = [Submit(number=number, document=bytes(2 * 2**20)) for number in range(1, 40)]
+        submissions = [
+            SubmitRequest(number=number, document=bytes(2 * 2**20)) for number in range(1, 40)
+        ]
         tasks = [
             asyncio.ensure_future(host.service.documents.accept(submit)) for submit in submissions
         ]
@@ -214,7 +216,7 @@
         assert len(refused) == len(submissions) - 8
         stalled.set()
         replies = await asyncio.gather(*tasks)
-        assert sum(isinstance(reply, DocumentHeld) for reply in replies) == 8
+        assert sum(isinstance(reply, AcceptedDocument) for reply in replies) == 8
         assert host.service.state.number == 8
         assert not host.service.documents.pending_bytes
 
@@ -283,7 +285,7 @@
         await host.service.accept_report(departure_report(BackendId('i-1')))
         now = host.service.node.clock.wall_ms()
         for name in ('i-1', 'i-2', f'i-1#{now - 1000}'):
-            assert isinstance(await host.service.accept_report(report(name)), ReportTaken)
+            assert isinstance(await host.service.accept_report(report(name)), ReportAccepted)
         entries = host.service.directory.entries.values()
         ready = [
             entry.report.instance for entry in entries if entry.report.state is BackendState.ready
@@ -297,9 +299,9 @@
     async def run():
         host = Host()
         await host.service.accept_report(report('i-1#8'))
-        assert isinstance(await host.service.accept_report(report('i-1', 99)), ReportForeign)
+        assert isinstance(await host.service.accept_report(report('i-1', 99)), ReportRejected)
         assert list(host.service.directory.entries) == ['i-1#8']
-        assert isinstance(await host.service.accept_report(report('i-2')), ReportTaken)
+        assert isinstance(await host.service.accept_report(report('i-2')), ReportAccepted)
 
     asyncio.run(run())
 
@@ -309,11 +311,11 @@
         host = Host()
         few = Leadership(term=3, leader='c1', can_serve=True, voters=4)
         host.service.update_leadership(few)
-        submit = Submit(number=1, document=b'd')
-        assert isinstance(await host.service.documents.accept(submit), NotYet)
+        submit = SubmitRequest(number=1, document=b'd')
+        assert isinstance(await host.service.documents.accept(submit), GroupNotReady)
         assert not host.submitted
         host.service.update_leadership(LEADING)
-        assert isinstance(await host.service.documents.accept(submit), DocumentHeld)
+        assert isinstance(await host.service.documents.accept(submit), AcceptedDocument)
 
     asyncio.run(run())
 
@@ -324,7 +326,7 @@
         service = host.service
         await service.accept_report(report())
         first = await service.watch(received(request(number=0)))
-        first_update: WatchNews = first.reply
+        first_update: WatchUpdate = first.reply
         held = request(epoch=first_update.epoch, since=first_update.upto, number=0)
         service.directory.record_watch(held, service.node.clock.now())
         leave = asyncio.ensure_future(
@@ -336,7 +338,7 @@
         assert update.reports[0].state is BackendState.draining
         confirmed = request(epoch=update.epoch, since=update.upto, number=0)
         watching = asyncio.ensure_future(service.watch(received(confirmed)))
-        assert isinstance(await asyncio.wait_for(leave, 1), ReportTaken)
+        assert isinstance(await asyncio.wait_for(leave, 1), ReportAccepted)
         watching.cancel()
 
     asyncio.run(run())
@@ -369,7 +371,9 @@
 
 
 def watch_update(epoch='e1', upto=1, *, whole=True, warm=True, reports=(), silent=()):
-    return WatchNews(epoch=epoch, upto=upto, whole=whole, warm=warm, reports=reports, silent=silent)
+    return WatchUpdate(
+        epoch=epoch, upto=upto, whole=whole, warm=warm, reports=reports, silent=silent
+    )
 
 
 def test_new_leader_that_has_not_warmed_up_removes_no_server():
@@ -412,7 +416,7 @@
         if self.reply is None:
             raise UnreachableError('host is down')
         body = WatchReply(reply=self.reply)
-        return Received(sender='c', address=address, group='g', revision=0, body=body)
+        return ReceivedMessage(sender='c', address=address, group='g', revision=0, body=body)
 
 
 def test_unreachable_host_does_not_delay_the_search_for_the_leader():
--- a/tests/test_control/test_control_quarantining.py
+++ b/tests/test_control/test_control_quarantining.py
@@ -13,8 +13,9 @@
 from ringseam.control.follow import FollowedState, FollowService
 from ringseam.control.replicamessages import Leadership, NotLeading, ReadConfirmed
 from ringseam.control.state import StateMachine, encode_command
+from ringseam.envelopes import ReceivedMessage
 from ringseam.evidence import REFUTE_DELAY_S, REPORT_SPACING_S
-from ringseam.following import WatchNews, WatchRequest
+from ringseam.followmessages import WatchRequest, WatchUpdate
 from ringseam.gateway.following.follower import Follower
 from ringseam.messages import Redirect
 from ringseam.node import Node
@@ -30,7 +31,6 @@
 )
 from ringseam.routes import ServiceName
 from ringseam.rpc import CallClient
-from ringseam.sealing import Received
 
 GATEWAY = GatewayState(name='g1', address='1.1.1.1:1', zone='a')
 LEADING = Leadership(term=3, leader='c1', can_serve=True, voters=5, members=('c1', 'c2'))
@@ -39,7 +39,7 @@
 
 
 def received(body):
-    return Received('g1', '1.1.1.1:1', '', 0, body)
+    return ReceivedMessage('g1', '1.1.1.1:1', '', 0, body)
 
 
 def crash_report(*servers, contents=(CRASHING_CONTENT,), software='v1'):
@@ -325,7 +325,7 @@
 
 def watch_update(epoch, *contents, warm=True, version=2):
     held = QuarantineSnapshot(version=version, quarantined=dict.fromkeys(contents, 0))
-    return WatchNews(epoch=epoch, upto=1, whole=True, warm=warm, quarantine=held)
+    return WatchUpdate(epoch=epoch, upto=1, whole=True, warm=warm, quarantine=held)
 
 
 @pytest.mark.parametrize(('warm', 'held'), [(False, {'one', 'two'}), (True, {'two'})])
--- a/tests/test_control/test_control_zonedraining.py
+++ b/tests/test_control/test_control_zonedraining.py
@@ -10,14 +10,14 @@
 from ringseam.control.openinterface import OpenInterface
 from ringseam.control.replicamessages import Leadership, NotLeading, Propose, ReadConfirmed
 from ringseam.control.state import StateMachine, encode_command
+from ringseam.envelopes import ReceivedMessage
 from ringseam.errors import UnreachableError
-from ringseam.following import NotYet, WatchRequest, ZoneOrder
+from ringseam.followmessages import GroupNotReady, WatchRequest, ZoneOrder
 from ringseam.gateway.following.follower import Follower
 from ringseam.messages import Redirect
 from ringseam.metrics import Metrics
 from ringseam.node import Node
 from ringseam.rpc import CallClient
-from ringseam.sealing import Received
 from ringseam.web.server import HttpLimits, HttpServer
 from ringseam.zones import DrainedZones
 from tests.fakes import Network
@@ -154,7 +154,7 @@
 
 def received(**fields):
     gateway = GatewayState(name='g1', address='1.1.1.1:1', zone='a')
-    return Received('g1', '1.1.1.1:1', '', 0, WatchRequest(gateway=gateway, **fields))
+    return ReceivedMessage('g1', '1.1.1.1:1', '', 0, WatchRequest(gateway=gateway, **fields))
 
 
 def test_order_is_acknowledged_once_in_force_at_the_gateways():
@@ -180,7 +180,10 @@
         for host, expected in (
             (Host(commits=False), Redirect),
             (Host(leadership=Leadership(term=3, leader='c2')), Redirect),
-            (Host(leadership=Leadership(term=3, leader='c1', can_serve=True, voters=4)), NotYet),
+            (
+                Host(leadership=Leadership(term=3, leader='c1', can_serve=True, voters=4)),
+                GroupNotReady,
+            ),
         ):
             assert isinstance(await host.service.zones.order(DRAIN), expected)
             assert host.state_machine.state.zones == DrainedZones()
@@ -220,7 +223,7 @@
 class NoLeader:
     """A control client that finds no leader."""
 
-    async def ask_leader(self, method, message, *, timeout_s):
+    async def call_leader(self, method, message, *, timeout_s):
         raise UnreachableError('no leader')
 
 
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringseam.documents import DocumentError, DocumentHistory, decode_change, encode_change
+from ringseam.documents import DocumentError, DocumentHistory, apply_delta, encode_delta
 
 
 def document(number, count, **changed):
@@ -31,27 +31,27 @@
 
 @given(pieces.map(b''.join), pieces.map(b''.join))
 def test_change_makes_the_document_that_it_was_made_for(held, wanted):
-    assert decode_change(held, encode_change(held, wanted)) == wanted
+    assert apply_delta(held, encode_delta(held, wanted)) == wanted
 
 
 def test_change_of_one_route_among_thousands_is_small():
     """Load: a change each 0.3 s with 2,000 routes, over links of 5 Mbit/s. Grounds:
     half a kilobyte takes 0.8 ms there, by its bandwidth."""
     held, wanted = document(1, 2000), document(2, 2000, r700=5)
-    assert len(encode_change(held, wanted)) < 500
-    assert len(encode_change(b'', wanted)) < len(wanted) / 10
+    assert len(encode_delta(held, wanted)) < 500
+    assert len(encode_delta(b'', wanted)) < len(wanted) / 10
 
 
 @pytest.mark.parametrize('change', [b'', b'nothing', zlib.compress(b'nothing')])
 def test_change_that_can_not_be_read_is_an_error(change):
     with pytest.raises(DocumentError):
-        decode_change(b'', change)
+        apply_delta(b'', change)
 
 
 def test_change_for_another_document_is_an_error():
-    change = encode_change(document(1, 9), document(2, 9, r3=1))
+    change = encode_delta(document(1, 9), document(2, 9, r3=1))
     with pytest.raises(DocumentError):
-        decode_change(document(1, 8), change)
+        apply_delta(document(1, 8), change)
 
 
 def test_history_of_large_documents_keeps_the_newest_and_few_others():
@@ -65,15 +65,15 @@
     history = DocumentHistory()
     for number in range(1, 40):
         history.add(number, document(number, number))
-    change = history.change(38, 39)
-    assert decode_change(document(38, 38), change) == document(39, 39)
-    assert decode_change(b'', history.change(0, 39)) == document(39, 39)
+    change = history.delta(38, 39)
+    assert apply_delta(document(38, 38), change) == document(39, 39)
+    assert apply_delta(b'', history.delta(0, 39)) == document(39, 39)
 
 
 def test_history_lacks_what_is_old_or_unknown():
     history = DocumentHistory()
     for number in range(1, 40):
         history.add(number, b'd')
-    assert history.change(1, 39) is None
-    assert history.change(0, 40) is None
+    assert history.delta(1, 39) is None
+    assert history.delta(0, 40) is None
     assert len(history.documents) < 20
--- a/tests/test_entry/test_entry_claims.py
+++ b/tests/test_entry/test_entry_claims.py
@@ -20,6 +20,7 @@
 from ringseam.entry.guard import QuarantineGuard
 from ringseam.entry.runs import CallerRequest, PipelineRunner
 from ringseam.entry.state import EntryState
+from ringseam.envelopes import ReceivedMessage
 from ringseam.errors import UnreachableError
 from ringseam.limits import AccountLimits
 from ringseam.messages import (
@@ -35,7 +36,6 @@
 from ringseam.outcomes import outcome_name
 from ringseam.retries import BudgetRetries
 from ringseam.routing import AdaptiveRouter, AgentView
-from ringseam.sealing import Received
 from ringseam.services import DISPATCH, TOMBSTONE
 from tests.conftest import PART_FILE
 
@@ -137,7 +137,7 @@
             raise DeadError(step)
         await self.resumed.wait()
 
-    async def ask_leader(self, method, request, *, timeout_s):
+    async def call_leader(self, method, request, *, timeout_s):
         command_name = type(request.command).__name__
         await self.reach(f'before {command_name}')
         outcome = self.cluster.state_machine.apply(encode_command(request.command))
@@ -152,7 +152,7 @@
         else:
             assert method is TOMBSTONE
             reply = self.cluster.table.tombstone(message, self.cluster.clock.now())
-        return Received('a', address, '', 1, DispatchReply(reply=reply))
+        return ReceivedMessage('a', address, '', 1, DispatchReply(reply=reply))
 
     async def send_request(self, body=b'carton', key='k'):
         request = CallerRequest(
@@ -178,9 +178,9 @@
 
 
 def _delta(state):
-    from ringseam.deltas import DeltaReply
+    from ringseam.directorymessages import DirectoryDeltaReply
 
-    return DeltaReply(epoch='e', upto=1, whole=True, agents=(state,))
+    return DirectoryDeltaReply(epoch='e', upto=1, whole=True, agents=(state,))
 
 
 STOP_POINTS = (
--- a/tests/test_gateway/test_following/test_following_coldservers.py
+++ b/tests/test_gateway/test_following/test_following_coldservers.py
@@ -12,7 +12,7 @@
 
 from ringseam.backends import BackendId, BackendReport, GatewayState
 from ringseam.control.backenddirectory import BackendDirectory
-from ringseam.following import WatchNews, WatchRequest
+from ringseam.followmessages import WatchRequest, WatchUpdate
 from ringseam.gateway.engines.messages import PlaceRequest, PromptPart
 from ringseam.gateway.engines.placement import Placer
 from ringseam.gateway.following.coldservers import ColdServers
@@ -178,7 +178,7 @@
 
 def news(**fields):
     known = {'epoch': 'e', 'upto': 1, 'whole': True, 'warm': False}
-    return WatchNews(**(known | fields))
+    return WatchUpdate(**(known | fields))
 
 
 def test_servers_of_a_restored_zone_are_treated_as_cold():
--- a/tests/test_gateway/test_following/test_following_documentfetch.py
+++ b/tests/test_gateway/test_following/test_following_documentfetch.py
@@ -7,11 +7,11 @@
 
 from ringseam.control.follow import FollowedState, FollowService
 from ringseam.documents import PART_BYTES
+from ringseam.envelopes import ReceivedMessage
 from ringseam.errors import UnreachableError
 from ringseam.gateway.following.documentfetch import DocumentFetcher
 from ringseam.model.virtualtime import run_virtual
 from ringseam.node import Node
-from ringseam.sealing import Received
 from tests.test_documents import document
 
 #: Half of a link of 5 Mbit/s; requests use the other half.
@@ -49,7 +49,7 @@
         if address not in self.hosts or left <= 0:
             await asyncio.sleep(timeout_s)
             raise UnreachableError(address)
-        received = Received(sender='', address='', group='', revision=0, body=message)
+        received = ReceivedMessage(sender='', address='', group='', revision=0, body=message)
         reply = await self.hosts[address].documents.document_part(received)
         size = len(getattr(reply.reply, 'part', b''))
         self.bytes += size
@@ -59,7 +59,7 @@
                     await asyncio.sleep(0.003 + size / BYTES_PER_S)
         except asyncio.TimeoutError:
             raise UnreachableError('slow') from None
-        return Received(sender='', address=address, group='', revision=0, body=reply)
+        return ReceivedMessage(sender='', address=address, group='', revision=0, body=reply)
 
 
 def test_many_gateways_with_slow_links_fetch_a_large_document_soon():
--- a/tests/test_gateway/test_requests/test_requests_limits.py
+++ b/tests/test_gateway/test_requests/test_requests_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ringseam.backends import BackendId
-from ringseam.calls import AnswerMarks
+from ringseam.calls import ResponseMetadata
 from tests.gateways import (
     LocalGateway,
     ScriptedServer,
@@ -128,7 +128,7 @@
 def test_response_of_an_unknown_server_is_ignored(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
-            marks = AnswerMarks(
+            marks = ResponseMetadata(
                 attempt_id='',
                 authentic=False,
                 not_run=True,
--- a/tests/test_platform/test_platform_zones.py
+++ b/tests/test_platform/test_platform_zones.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ringseam.following import ZoneOrder
+from ringseam.followmessages import ZoneOrder
 from ringseam.platform.zones import decode_zone_order, is_zone_path
 
 
--- a/tests/test_routing/test_routing_choice.py
+++ b/tests/test_routing/test_routing_choice.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringseam.deltas import DeltaReply
+from ringseam.directorymessages import DirectoryDeltaReply
 from ringseam.messages import AgentState
 from ringseam.routing import AdaptiveRouter, AgentView, RoundRobinRouter, Router, RoutingRequest
 from ringseam.zones import DrainedZones
@@ -85,7 +85,7 @@
 
 
 def delta(states, *, whole=False, gone=(), warm=True):
-    return DeltaReply(
+    return DirectoryDeltaReply(
         epoch='e', upto=1, whole=whole, agents=tuple(states), gone=tuple(gone), warm=warm
     )
 
--- a/tests/test_rpc/test_rpc_multiplex.py
+++ b/tests/test_rpc/test_rpc_multiplex.py
@@ -83,7 +83,7 @@
                 for number in range(1, 60)
             ]
             replies = await asyncio.gather(*calls)
-            assert len(client.links) == 1
+            assert len(client.multiplexers) == 1
             return [reply.body.text for reply in replies]
 
     assert asyncio.run(run()) == [f'client {number}' for number in range(1, 60)]
