--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -272,7 +272,7 @@
     Mutation(
         'a call that nobody waits for goes on at the other process',
         'ringseam/multiplex.py',
-        'self.outbox.put(Frame(number, FrameKind.cancel))',
+        'self.outbox.put(Frame(call_id, FrameKind.cancel))',
         'pass',
         'tests/test_rpc',
     ),
--- a/ringseam/calls.py
+++ b/ringseam/calls.py
@@ -1,4 +1,4 @@
-"""What clients ask for, and what is told to backend servers and by them."""
+"""Decoded metadata of client requests, calls to backend servers, and their responses."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PromptPart:
-    """A part of a prompt that may be cached."""
+    """A part of a prompt that an engine may have cached."""
 
     name: str
     tokens: int
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClientRequest:
-    """What a client asks for beside the body, decoded."""
+    """The decoded headers of a client request."""
 
     attempt_id: str
     host: str
@@ -23,10 +23,10 @@
     time_left_s: float | None
     key: str
     prompt_tokens: int = 0
-    #: Tokens to be generated: the client's estimate, else the most.
+    #: Tokens to be generated: the estimate of the client, otherwise the maximum.
     output_tokens: int = 0
     prefix: tuple[PromptPart, ...] = ()
-    #: Pieces of each stage, and what marks the request's own pieces.
+    #: Number of pieces of each stage, and the key that identifies the pieces of this request.
     pieces: tuple[int, ...] = ()
     piece_key: str = ''
     last_event: int | None = None
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallHeaders:
-    """What the system tells a backend server beside the client's headers."""
+    """Headers that are added to the client's when a backend server is called."""
 
     instance: str
     time_left_s: float
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServerLoad:
-    """A backend server's load as it told it."""
+    """The load that a backend server reported."""
 
     running: int
     waiting: int
@@ -55,18 +55,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ResponseMetadata:
-    """What a backend server's answer says of itself."""
+    """The decoded metadata headers of a backend server's response."""
 
     attempt_id: str
     authentic: bool
     not_run: bool
     encoded: bool
     load: ServerLoad | None
-    #: Requests a second that the server takes from all gateways; None: it names no limit.
+    #: Rate limit that the server announces for all gateways together; None if there is none.
     limit_per_s: float | None = None
-    #: Whether it names a limit that can't be read.
+    #: Whether the server announces a rate limit that can't be parsed.
     limit_unreadable: bool = False
-    #: For how long the server wants nothing more from this gateway, seconds.
+    #: How long the server wants no more requests from this gateway, seconds.
     pause_s: float | None = None
-    #: Whether it leaves: it takes no new work.
+    #: Whether the server is leaving, so it accepts no new requests.
     leaving: bool = False
--- a/ringseam/channels.py
+++ b/ringseam/channels.py
@@ -1,4 +1,4 @@
-"""Connections to other processes, one an address, that notice silence."""
+"""Connections to other processes, one per address, that detect dead peers."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 logger = logging.getLogger(__name__)
 
-#: A connection that isn't made after this long won't be, seconds.
+#: Timeout for establishing a connection, seconds.
 CONNECT_TIMEOUT_S = 1.0
-#: Unacknowledged bytes break a connection after this long, ms (RFC 5482).
+#: Time that data may stay unacknowledged before the connection is closed, ms (RFC 5482).
 _USER_TIMEOUT_MS = 1000
-#: Seconds of silence before the kernel probes a peer, and how often it does.
+#: Idle time before the first keepalive probe and between probes, seconds, and their number.
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
 _DEAD_PEER_OPTIONS = (
@@ -32,7 +32,7 @@
     (socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S),
     (socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
 )
-#: What a broken connection raises, whichever layer sees it first.
+#: Exceptions of a broken connection, whichever layer detects it first.
 CALL_ERRORS = (
     OSError,
     StreamTerminatedError,
@@ -43,7 +43,7 @@
 
 
 def detect_dead_peer(transport: asyncio.BaseTransport) -> None:
-    """Let the kernel break a connection whose peer has fallen silent."""
+    """Let the kernel close the connection when its peer stops responding."""
     sock = transport.get_extra_info('socket')
     if sock is None:
         return
@@ -51,24 +51,24 @@
         try:
             sock.setsockopt(socket.IPPROTO_TCP, option, amount)
         except OSError as error:
-            logger.debug('socket option %s: %s', option, error)
+            logger.debug('could not set socket option %s: %s', option, error)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
 
 
 class ChannelPool:
-    """ChannelPool of one process by address, made on demand."""
+    """The channels of this process by address, opened on demand."""
 
     def __init__(self, *, node: Node) -> None:
         """Connect as ``node``."""
         self.node = node
         self.by_address: dict[str, Channel] = {}
-        #: The connection at each address whose socket has its options.
+        #: By address, the connection whose socket options have been set.
         self.configured: dict[str, Any] = {}
 
     async def connect(self, address: str, timeout_s: float) -> Channel:
-        """Return the channel to an address, with a connection that is open.
+        """Return the channel to ``address`` with an open connection.
 
-        :raises NotSentError: when none could be made.
+        :raises NotSentError: when no connection could be made.
         """
         channel = self._channel(address)
         try:
@@ -77,7 +77,7 @@
         except CALL_ERRORS as error:
             raise NotSentError(f'{address}: {type(error).__name__} {error}') from None
         if protocol.connection.is_closing():
-            # The peer reset it between the handshake and this step.
+            # The peer reset the connection between the handshake and this check.
             raise NotSentError(f'{address}: the connection was closed before it was used')
         if self.configured.get(address) is not protocol:
             self.configured[address] = protocol
--- a/ringseam/commands.py
+++ b/ringseam/commands.py
@@ -1,4 +1,4 @@
-"""Commands to the replicated log, and what each of them results in."""
+"""Commands of the replicated log, and their results."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ApplyFile(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """Replace a part's file when its revision is ``expect``."""
+    """Replace the file of a part if its revision is ``expect``."""
 
     part: str
     text: str
@@ -24,63 +24,63 @@
 
 
 class TakeToken(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """Take the next fencing token for orders to one backend server."""
+    """Issue the next fencing token for orders to one backend server."""
 
     server: str
 
 
 class CheckToken(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """Ask which token is the newest for one backend server."""
+    """Read the newest fencing token of one backend server."""
 
     server: str
 
 
 class PutDocument(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """Put a document in force when its number is the highest so far."""
+    """Accept a document if its number is the highest so far."""
 
     number: int
     document: bytes
 
 
 class RetireBackend(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """Let a backend server that leaves never get new work again."""
+    """Retire a backend server that leaves, so it never gets requests again."""
 
     instance: str
 
 
 class RecordVerdict(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """Remember that a content ends servers, or with ``lifted`` that it may run again."""
+    """Record that a content crashes servers, or, if ``lifted``, release it for a retest."""
 
     content: str
     service: str = ''
     account: str = ''
-    #: The versions of the software that it ended.
+    #: The software versions that it crashed.
     software: tuple[str, ...] = ()
     lifts: int = 0
     lifted: bool = False
 
 
 class DrainZone(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """Send nothing new to the backend servers of an availability zone, or again."""
+    """Drain an availability zone, or restore it if ``drained`` is false."""
 
     zone: str
     drained: bool
 
 
 class ZoneDrained(Tagged, frozen=True, kw_only=True):
-    """The zone is as ordered; ``change`` is the newest change of zones."""
+    """The zone is in the requested state; ``change`` counts the changes of drained zones."""
 
     change: int
 
 
 class VerdictRecorded(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """The verdict is remembered, or forgotten."""
+    """The verdict was recorded or lifted."""
 
     content: str
 
 
 class DocumentPut(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """The newest number; another document may hold it."""
+    """The newest document number, which may be that of another document."""
 
     newest: int
 
@@ -92,7 +92,7 @@
 
 
 class FileAccepted(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """The file is revision ``revision`` of all files."""
+    """The file was accepted under the global revision ``revision``."""
 
     revision: int
     newest: int
@@ -100,13 +100,13 @@
 
 
 class FileConflict(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """The part is at another revision than expected."""
+    """The part has another revision than expected."""
 
     revision: int
 
 
 class TokenTaken(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """The newest token for that server."""
+    """The newest fencing token of the server."""
 
     token: int
 
--- a/ringseam/directorymessages.py
+++ b/ringseam/directorymessages.py
@@ -1,4 +1,4 @@
-"""Changes of the directory of agents, as entries ask control hosts for them."""
+"""Messages by which entries fetch changes of the agent directory from control hosts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DirectoryDeltaRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Ask for directory changes after ``since`` of directory ``epoch``."""
+    """Request the changes after number ``since`` of the directory with id ``epoch``."""
 
     epoch: str
     since: int
@@ -15,15 +15,15 @@
 
 
 class DirectoryDeltaReply(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Directory changes up to ``upto``; ``whole`` replaces the view."""
+    """Directory changes up to number ``upto``; if ``whole``, they replace the entry's view."""
 
     epoch: str
     upto: int
     whole: bool
     agents: tuple[AgentState, ...] = ()
     gone: tuple[str, ...] = ()
-    #: Whether this directory is up long enough to have heard every agent;
-    #: before that, a missing agent means nothing.
+    #: Whether this directory has warmed up: it has run long enough to have a report from
+    #: every agent. Until then, a missing agent may still be running.
     warm: bool = True
-    #: Availability zones whose agents get nothing new.
+    #: Availability zones whose agents get no new requests.
     zones: DrainedZones = DrainedZones()
--- a/ringseam/documents.py
+++ b/ringseam/documents.py
@@ -1,12 +1,12 @@
-"""Documents as they travel: what changed against a base one, compressed, in parts.
+"""Delta encoding of routing documents for transfer.
 
-A document of thousands of routes changes by a few of them at a time, and some
-hosts have links of a few Mbit/s. So a follower is sent the differences against
-the document that it holds, and a document that it lacks whole travels
-compressed, in parts that it collects over whichever hosts answer.
+A document can have thousands of routes, of which a few change at a time, and some hosts
+have links of a few Mbit/s. So a follower gets a compressed delta against the document it
+has, or the whole document, compressed, if it has none. Either is sent in parts, which the
+follower can fetch from different hosts.
 
-Measured with 1,500 routes (a document of 189 kB): 6.2 kB whole, 168 bytes for a
-change of one route (``python -m bench.documents``).
+A document of 1,500 routes (189 kB) takes 6.2 kB as a whole, and a change of one route takes
+168 bytes (``python -m bench.documents``).
 """
 
 from __future__ import annotations
@@ -21,40 +21,40 @@
 
 from ringseam.errors import RingseamError
 
-#: Where a document is cut: between two objects of a list (RFC 8259). A cut
-#: elsewhere, in a string say, costs some bytes and nothing else.
+#: Separator at which a document is split into segments: between two objects of a list
+#: (RFC 8259). A match elsewhere, such as in a string, only makes the delta larger.
 _BOUNDARY = b'},{'
-#: Fast and small enough: 0.8 MB takes 2 ms; level 6 takes 4 ms for 14% less.
+#: zlib level: 0.8 MB takes 2 ms; level 6 takes 4 ms and saves 14% of the size.
 _COMPRESSION_LEVEL = 1
 _DIGEST_BYTES = 16
-#: Documents that are kept to send differences against: changes come in bursts of
-#: ten or so, and a follower that is further behind is sent the whole document.
+#: Maximum number of documents kept as bases, and of cached deltas. Changes come in bursts
+#: of about ten; a follower that is further behind gets the whole document.
 _MAX_KEPT = 12
-#: And their bytes beside the newest one, a twentieth of a host of 300 MB.
+#: Maximum size of the kept documents without the newest one: 5% of a host with 300 MB.
 _MAX_OLDER_BYTES = 16 * 2**20
-#: Bytes of one part; 0.1 s on a link of 5 Mbit/s.
+#: Size of one part, which takes 0.1 s on a link of 5 Mbit/s.
 PART_BYTES = 64 * 1024
 
 
 class DocumentError(RingseamError):
-    """A change doesn't fit the document that it was applied to."""
+    """A delta is malformed or doesn't match the base document."""
 
 
 class CopySegments(msgspec.Struct, frozen=True, array_like=True, tag='Copied'):
-    """Pieces that the base document has, from one of them on."""
+    """Copy ``count`` segments of the base document, starting at index ``first``."""
 
     first: int
     count: int
 
 
 class InsertSegments(msgspec.Struct, frozen=True, array_like=True, tag='Written'):
-    """Pieces that the base document doesn't have."""
+    """Insert segments that the base document doesn't have."""
 
     segments: list[bytes]
 
 
 class DocumentDelta(msgspec.Struct, frozen=True, array_like=True):
-    """How to make a document from a base one; the digest is of the result."""
+    """Operations that turn the base document into another, and the digest of the result."""
 
     digest: bytes
     operations: list[Union[CopySegments, InsertSegments]]
@@ -64,14 +64,14 @@
 
 
 def encode_delta(base: bytes, document: bytes) -> bytes:
-    """Return what makes ``document`` from ``base``; nothing base: all of it."""
+    """Return the delta from ``base`` to ``document``; an empty base yields all of it."""
     segments = _split(base) if base else []
     known = {segment: index for index, segment in enumerate(segments)}
     operations: list[Union[CopySegments, InsertSegments]] = []
     next_index = 0
     for segment in _split(document):
         index = known.get(segment)
-        # Routes have segments in common: the one after the last copied goes first.
+        # Routes have equal segments: prefer the one that continues the last copy.
         if next_index < len(segments) and segments[next_index] == segment:
             index = next_index
         _add_operation(operations, segment, index)
@@ -83,14 +83,14 @@
 
 
 def apply_delta(base: bytes, delta: bytes) -> bytes:
-    """Return the document that a change makes from ``base``.
+    """Apply a delta to ``base`` and return the resulting document.
 
-    :raises DocumentError: when it can't be read, or was made for another one.
+    :raises DocumentError: when the delta is malformed or made for another base.
     """
     try:
         decoded = _DECODER.decode(zlib.decompress(delta))
     except (zlib.error, msgspec.MsgspecError) as error:
-        raise DocumentError(f'change can not be read: {error}') from None
+        raise DocumentError(f'malformed document delta: {error}') from None
     segments = _split(base) if base else []
     result_segments: list[bytes] = []
     for operation in decoded.operations:
@@ -100,35 +100,35 @@
             result_segments.extend(operation.segments)
     document = _BOUNDARY.join(result_segments)
     if _digest(document) != decoded.digest:
-        raise DocumentError('change was made for another document')
+        raise DocumentError('document delta does not match the base document')
     return document
 
 
 @dataclass(kw_only=True)
 class DocumentHistory:
-    """The newest documents by number, and the deltas that were asked for."""
+    """The newest documents by number, and recently requested deltas."""
 
     documents: OrderedDict[int, bytes] = field(default_factory=OrderedDict)
     deltas: OrderedDict[tuple[int, int], bytes] = field(default_factory=OrderedDict)
 
     def add(self, number: int, document: bytes) -> None:
-        """Keep a document; numbers only go up."""
+        """Add a document, whose number must be higher than all earlier ones."""
         self.documents[number] = document
         while len(self.documents) > _MAX_KEPT or self._older_bytes() > _MAX_OLDER_BYTES:
             self.documents.popitem(last=False)
 
     def delta(self, base: int, number: int) -> bytes | None:
-        """Return what makes document ``number`` from document ``base``.
+        """Return the delta from document ``base`` to document ``number``.
 
-        None when either is not here. Followers ask for the same ones at the
-        same time, so the latest are kept.
+        Return None if either is missing. The latest deltas are cached, as many followers
+        request the same ones at the same time.
         """
         if number not in self.documents or (base and base not in self.documents):
             return None
         key = (base, number)
         if key not in self.deltas:
-            before = self.documents.get(base, b'')
-            self.deltas[key] = encode_delta(before, self.documents[number])
+            base_document = self.documents.get(base, b'')
+            self.deltas[key] = encode_delta(base_document, self.documents[number])
         self.deltas.move_to_end(key)
         while len(self.deltas) > _MAX_KEPT:
             self.deltas.popitem(last=False)
--- a/ringseam/envelopes.py
+++ b/ringseam/envelopes.py
@@ -1,8 +1,8 @@
-"""Sealed msgpack envelopes: what travels between processes.
+"""Authenticated msgpack envelopes of the messages between processes.
 
-Each message stands in an envelope that carries the sender, its group, its
-configuration revision and its causal stamp, and is authenticated with a keyed
-BLAKE2 digest under the cluster key (RFC 7693).
+An envelope carries the sender, its group, its configuration revision and its hybrid logical
+timestamp. It is authenticated by a message authentication code (MAC): a BLAKE2 digest keyed
+with the cluster key (RFC 7693).
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """What travels: header fields, the encoded body and the seal."""
+    """The header fields, the encoded body and the MAC."""
 
     sender: str
     address: str
@@ -36,7 +36,7 @@
 
 
 class ReceivedMessage(msgspec.Struct, frozen=True):
-    """A message that was opened, with its envelope's header."""
+    """A decoded message with the header fields of its envelope."""
 
     sender: str
     address: str
@@ -46,18 +46,18 @@
 
 
 class AuthenticatedCodec(CodecBase):
-    """Encode messages into sealed envelopes and open them again."""
+    """Encode messages into authenticated envelopes, and verify and decode them."""
 
     __content_subtype__ = 'ringseam'
 
     def __init__(self, *, node: Node) -> None:
-        """Seal with the cluster key of ``node``."""
+        """Use the identity and the cluster key of ``node``."""
         self.node = node
         self.body_decoders: dict[Any, msgspec.msgpack.Decoder[Any]] = {}
         self.envelope_decoder = msgspec.msgpack.Decoder(Envelope)
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return the sealed envelope of ``message``."""
+        """Return the encoded envelope of ``message``."""
         node = self.node
         wall, counter = node.hybrid_clock.tick()
         body = msgspec.msgpack.encode(message)
@@ -65,9 +65,9 @@
         return msgspec.msgpack.encode(Envelope(*header, body, self.compute_mac(header, body)))
 
     def decode(self, raw: bytes, message_type: Any) -> ReceivedMessage:
-        """Open an envelope.
+        """Verify and decode an envelope.
 
-        :raises StrangerError: when the seal or the shape is wrong.
+        :raises StrangerError: when it is malformed, not authentic or from another group.
         """
         try:
             envelope = self.envelope_decoder.decode(raw)
@@ -86,7 +86,7 @@
         )
 
     def compute_mac(self, header: tuple[Any, ...], body: bytes) -> bytes:
-        """Return the keyed digest over header and body."""
+        """Return the MAC of header and body."""
         digest = hashlib.blake2b(body, key=self.node.secret, digest_size=_DIGEST_BYTES)
         digest.update(repr(header).encode())
         return digest.digest()
@@ -101,7 +101,7 @@
             envelope.counter,
         )
         if not hmac.compare_digest(envelope.mac, self.compute_mac(header, envelope.body)):
-            raise StrangerError('wrong cluster key')
+            raise StrangerError('MAC does not match: wrong cluster key')
         if envelope.group and self.node.group and envelope.group != self.node.group:
             raise StrangerError(f'message of another group: {envelope.group}')
 
--- a/ringseam/followmessages.py
+++ b/ringseam/followmessages.py
@@ -1,4 +1,4 @@
-"""Messages by which gateways follow control, and control hosts pass on calls."""
+"""Messages by which gateways follow the control group, and control hosts forward calls."""
 
 from __future__ import annotations
 
@@ -14,59 +14,59 @@
 
 
 class WatchRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Ask for what is newer than what the gateway holds.
+    """Long-poll for updates that the gateway doesn't have yet.
 
-    It confirms at once: changes up to ``since`` of ``epoch`` are known, and
-    the document with ``number`` is in force.
+    It also confirms that the gateway has applied the directory changes up to ``since`` of
+    ``epoch`` and uses the document with ``number``.
     """
 
     gateway: GatewayState
     epoch: str = ''
     since: int = 0
     number: int = 0
-    #: The newest document that the gateway has heard of, and may be fetching.
+    #: The newest document that the gateway knows of; it may still be fetching it.
     heard: int = 0
-    #: The version of the quarantine that the gateway holds to.
+    #: The quarantine version that the gateway enforces.
     quarantine: int = 0
-    #: The newest change of drained zones that the gateway obeys.
+    #: The newest change of drained zones that the gateway applied.
     zones: int = 0
 
 
 class DocumentConfirmation(Message, frozen=True, kw_only=True):
-    """A document is in force at a gateway, whose watch is still open."""
+    """Confirm that the gateway uses a document while its watch is still open."""
 
     gateway: GatewayState
     number: int
 
 
 class WatchUpdate(Tagged, frozen=True, kw_only=True, omit_defaults=True, tag='WatchNews'):
-    """What is newer; ``whole`` says that the reports are all there are."""
+    """Updates for a gateway; if ``whole``, ``reports`` contains all backend servers."""
 
     epoch: str
     upto: int
     whole: bool
-    #: Whether the directory has had the time to hear every backend server.
+    #: Whether the directory has warmed up: it has had time to hear from all backend servers.
     warm: bool
     reports: tuple[BackendReport, ...] = ()
-    #: Servers that have fallen silent.
+    #: Servers whose reports have stopped.
     silent: tuple[BackendId, ...] = ()
-    #: The newest accepted document; who lacks it fetches it.
+    #: Number of the newest accepted document, which the gateway fetches if it lacks it.
     number: int = 0
     gateways: tuple[GatewayState, ...] = ()
     control: tuple[str, ...] = ()
-    #: Contents that end servers; None: nothing new.
+    #: Quarantined contents; None if unchanged.
     quarantine: Optional[QuarantineSnapshot] = None
     zones: DrainedZones = DrainedZones()
 
 
 class WatchReply(Message, frozen=True, kw_only=True):
-    """News, or where the leader may be."""
+    """Updates, or a redirect to the leader."""
 
     reply: Union[WatchUpdate, Redirect]
 
 
 class DocumentPartRequest(Message, frozen=True, kw_only=True):
-    """Ask for a part of what makes document ``number`` from document ``held``."""
+    """Request a part of the delta from document ``base`` to document ``number``."""
 
     number: int
     base: int = msgspec.field(name='held')
@@ -74,7 +74,7 @@
 
 
 class DocumentPart(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """A part of a change against document ``held``; 0: against nothing."""
+    """A part of a delta from document ``base``; base 0 is the empty document."""
 
     base: int = msgspec.field(name='held')
     total: int
@@ -82,58 +82,58 @@
 
 
 class PartUnavailable(Tagged, frozen=True, kw_only=True, tag='PartLacking'):
-    """The host doesn't hold that document."""
+    """The host doesn't have that document."""
 
 
 class DocumentPartReply(Message, frozen=True, kw_only=True):
-    """A part of a document, or why there is none."""
+    """A part of a delta, or why there is none."""
 
     reply: Union[DocumentPart, PartUnavailable]
 
 
 class ReportAccepted(Tagged, frozen=True, kw_only=True, omit_defaults=True, tag='ReportTaken'):
-    """The report is in the directory; ``report_to`` is the leader's address."""
+    """The report was recorded; ``report_to`` is the leader's address."""
 
     report_to: str = ''
 
 
 class ReportRejected(Tagged, frozen=True, kw_only=True, tag='ReportForeign'):
-    """Nothing was changed: the report isn't one of the server that it names."""
+    """The report was ignored: it isn't from the server that it names."""
 
 
 class ReportBackendReply(Message, frozen=True, kw_only=True):
-    """Acknowledgement of a report, why there is none, or where the leader may be."""
+    """Acknowledgement or rejection of a report, or a redirect to the leader."""
 
     reply: Union[ReportAccepted, ReportRejected, Redirect]
 
 
 class SubmitRequest(Message, frozen=True, kw_only=True):
-    """Accept a checked document under its number."""
+    """Submit a validated document under its number."""
 
     number: int
     document: bytes
 
 
 class AcceptedDocument(Tagged, frozen=True, kw_only=True, omit_defaults=True, tag='DocumentHeld'):
-    """The newest accepted document; empty in answers to a submit."""
+    """The newest accepted document; its text is omitted in replies to a submission."""
 
     number: int
     document: bytes = b''
 
 
 class GroupNotReady(Tagged, frozen=True, kw_only=True, tag='NotYet'):
-    """Nothing was changed: the group can't bear its losses yet."""
+    """The request had no effect: the group is still too small to tolerate its losses."""
 
 
 class ZoneOrder(Message, frozen=True, kw_only=True):
-    """An operator's order to drain an availability zone, or to use it again."""
+    """An operator's order to drain or restore an availability zone."""
 
     zone: str
     drained: bool
 
 
 class ZonesReply(Message, frozen=True, kw_only=True):
-    """The drained zones, or why an order was not taken."""
+    """The drained zones, or why an order was not accepted."""
 
     reply: Union[DrainedZones, GroupNotReady, Redirect]
 
--- a/ringseam/multiplex.py
+++ b/ringseam/multiplex.py
@@ -1,8 +1,8 @@
-"""Calls that share one stream between two processes.
+"""Multiplexing of calls over one stream between two processes.
 
-A unary call costs headers, trailers and a task on both sides, 1 ms of processor for both.
-As frames on one stream that stays open it costs 0.4 ms, one call after the other, and less
-the more there are: frames that come while one is being sent leave together.
+A unary gRPC call needs headers, trailers and a task on each side: 1 ms of CPU time for both
+together. Sent as frames on one stream that stays open, a sequential call takes 0.4 ms.
+Concurrent calls take less, as frames that queue up during a send go out in one message.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
     from grpclib.client import Stream as ClientStream
     from grpclib.server import Stream as ServerStream
 
-    #: Answers one call.
+    #: Handles one call and returns the reply.
     RequestHandler = Callable[[ReceivedMessage], Awaitable[Any]]
-    #: The envelope of what answers a call, and its frame.
-    Answer = tuple[ReceivedMessage, 'Frame']
+    #: The message that contains the reply to a call, and the frame of that call.
+    CallReply = tuple[ReceivedMessage, 'Frame']
 
 logger = logging.getLogger(__name__)
 
@@ -36,111 +36,111 @@
 
 
 class FrameKind(enum.IntEnum):
-    """What a frame says of its call."""
+    """The type of a frame."""
 
     call = 0
     cancel = 1
     reply = 2
-    #: The call was not answered; the body tells why.
+    #: The call failed; the body contains the reason.
     failure = 3
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """One step of one call; ``number`` tells the calls of a stream apart."""
+    """One frame of a call; ``call_id`` identifies the call within its stream."""
 
-    number: int
+    call_id: int
     kind: FrameKind
-    #: The method of a call.
+    #: The path of the called method.
     path: str = ''
     #: The encoded request or reply.
     body: bytes = b''
 
 
 class Frames(Message, frozen=True, kw_only=True):
-    """Frames that leave together."""
+    """Frames sent in one message."""
 
     frames: tuple[Frame, ...]
 
 
 class Outbox:
-    """Frames that wait to be sent; those that gather meanwhile leave together."""
+    """Queue of frames to send; all frames that wait are sent in one message."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty queue."""
         self.frames: list[Frame] = []
-        self.filled = asyncio.Event()
+        self.has_frames = asyncio.Event()
 
     def put(self, frame: Frame) -> None:
-        """Let a frame leave soon."""
+        """Queue a frame."""
         self.frames.append(frame)
-        self.filled.set()
+        self.has_frames.set()
 
     async def send_all(self, send: Callable[[Frames], Awaitable[None]]) -> None:
-        """Send whatever comes until the stream breaks or this is cancelled."""
+        """Send queued frames until the stream breaks or the task is cancelled."""
         while True:  # noqa: WPS457 - ends with the stream
-            await self.filled.wait()
-            self.filled.clear()
+            await self.has_frames.wait()
+            self.has_frames.clear()
             frames, self.frames = self.frames, []
             await send(Frames(frames=tuple(frames)))
 
 
 class ClientMultiplexer:
-    """The calling side of one stream: who waits for which call."""
+    """The client side of a stream: matches replies to pending calls."""
 
     def __init__(self) -> None:
-        """Begin without calls."""
+        """Start without pending calls."""
         self.outbox = Outbox()
-        self.numbers = itertools.count()
-        self.waiting: dict[int, asyncio.Future[Answer]] = {}
-        #: Why no call can be made any more; empty: they can.
+        self.call_ids = itertools.count()
+        self.pending: dict[int, asyncio.Future[CallReply]] = {}
+        #: Why the stream can't be used any more; empty while it can.
         self.closed_reason = ''
 
-    async def call(self, path: str, message: Any) -> Answer:
-        """Return the envelope and the frame that answer a call.
+    async def call(self, path: str, message: Any) -> CallReply:
+        """Make a call and return the message and the frame of its reply.
 
-        :raises UnreachableError: when the stream breaks or the call fails there.
+        :raises UnreachableError: when the stream breaks or the call fails at the peer.
         """
-        number = next(self.numbers)
+        call_id = next(self.call_ids)
         future = asyncio.get_running_loop().create_future()
-        self.waiting[number] = future
+        self.pending[call_id] = future
         body = msgspec.msgpack.encode(message)
-        self.outbox.put(Frame(number, FrameKind.call, path, body))
+        self.outbox.put(Frame(call_id, FrameKind.call, path, body))
         try:
             received, frame = await future
         except (asyncio.CancelledError, asyncio.TimeoutError):
-            self.outbox.put(Frame(number, FrameKind.cancel))
+            self.outbox.put(Frame(call_id, FrameKind.cancel))
             raise
         finally:
-            self.waiting.pop(number, None)
+            self.pending.pop(call_id, None)
         if frame.kind is FrameKind.failure:
             raise UnreachableError(f'{path}: {frame.body.decode()}')
         return received, frame
 
     async def run(self, stream: ClientStream[Any, Any]) -> None:
-        """Send calls and take replies until the stream ends."""
+        """Send calls and receive replies until the stream ends."""
         sender = asyncio.ensure_future(self.outbox.send_all(stream.send_message))
         try:
             async for received in stream:
-                self._take(received)
+                self._dispatch(received)
         finally:
             sender.cancel()
 
     def fail(self, detail: str) -> None:
-        """Fail all calls that wait, and those to come."""
+        """Fail all pending calls, and mark the stream as closed."""
         self.closed_reason = detail
-        for future in self.waiting.values():
+        for future in self.pending.values():
             if not future.done():
                 future.set_exception(UnreachableError(detail))
 
-    def _take(self, received: ReceivedMessage) -> None:
+    def _dispatch(self, received: ReceivedMessage) -> None:
         for frame in received.body.frames:
-            future = self.waiting.get(frame.number)
+            future = self.pending.get(frame.call_id)
             if future is not None and not future.done():
                 future.set_result((received, frame))
 
 
 class ServerMultiplexer:
-    """The answering side of one stream: the calls in progress."""
+    """The server side of a stream: runs the calls that arrive on it."""
 
     def __init__(
         self,
@@ -148,9 +148,9 @@
         handlers: Mapping[str, tuple[Any, RequestHandler]],
         drops: Callable[[str], bool],
     ) -> None:
-        """Answer by ``handlers``: the request's type and what answers, by path.
+        """Serve the methods in ``handlers``: request type and handler by path.
 
-        :param drops: whether what comes from an address is to be ignored.
+        :param drops: returns whether messages from an address are dropped.
         """
         self.handlers = handlers
         self.drops = drops
@@ -158,35 +158,35 @@
         self.running: dict[int, asyncio.Task[Any]] = {}
 
     async def run(self, stream: ServerStream[Any, Any]) -> None:
-        """Answer calls until the stream ends; then nobody waits for the others."""
+        """Serve calls until the stream ends, then cancel those still running."""
         sender = asyncio.ensure_future(self.outbox.send_all(stream.send_message))
         try:
             async for received in stream:
                 if not self.drops(received.address):
-                    self._take(received)
+                    self._dispatch(received)
         finally:
             sender.cancel()
             for task in self.running.values():
                 task.cancel()
 
-    def _take(self, received: ReceivedMessage) -> None:
+    def _dispatch(self, received: ReceivedMessage) -> None:
         for frame in received.body.frames:
             if frame.kind is FrameKind.call:
                 self._start(received, frame)
                 continue
-            cancelled = self.running.get(frame.number)
+            cancelled = self.running.get(frame.call_id)
             if cancelled is not None:
                 cancelled.cancel()
 
     def _start(self, received: ReceivedMessage, frame: Frame) -> None:
         if frame.path not in self.handlers:
-            self._fail(frame.number, 'no such method')
+            self._fail(frame.call_id, 'no such method')
             return
         kind, handle = self.handlers[frame.path]
         try:
             body = msgspec.msgpack.decode(frame.body, type=kind)
         except msgspec.MsgspecError as error:
-            self._fail(frame.number, f'malformed request: {error}')
+            self._fail(frame.call_id, f'malformed request: {error}')
             return
         request = ReceivedMessage(
             received.sender,
@@ -196,20 +196,20 @@
             body,
         )
         task = asyncio.ensure_future(handle(request))
-        self.running[frame.number] = task
-        task.add_done_callback(lambda ended: self._finish(frame.number, ended))
+        self.running[frame.call_id] = task
+        task.add_done_callback(lambda done: self._finish(frame.call_id, done))
 
-    def _finish(self, number: int, task: asyncio.Future[Any]) -> None:
-        self.running.pop(number, None)
+    def _finish(self, call_id: int, task: asyncio.Future[Any]) -> None:
+        self.running.pop(call_id, None)
         if task.cancelled():
             return
         error = task.exception()
         if error is not None:
-            logger.error('a call broke', exc_info=error)
-            self._fail(number, type(error).__name__)
+            logger.error('unhandled exception in a call', exc_info=error)
+            self._fail(call_id, type(error).__name__)
             return
         body = msgspec.msgpack.encode(task.result())
-        self.outbox.put(Frame(number, FrameKind.reply, '', body))
+        self.outbox.put(Frame(call_id, FrameKind.reply, '', body))
 
-    def _fail(self, number: int, detail: str) -> None:
-        self.outbox.put(Frame(number, FrameKind.failure, '', detail.encode()))
+    def _fail(self, call_id: int, detail: str) -> None:
+        self.outbox.put(Frame(call_id, FrameKind.failure, '', detail.encode()))
--- a/ringseam/rpc.py
+++ b/ringseam/rpc.py
@@ -1,4 +1,4 @@
-"""Typed calls between processes: grpclib with sealed msgpack envelopes."""
+"""Typed RPC between processes: grpclib with authenticated msgpack envelopes."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
     from ringseam.node import Node
 
-    #: Answers one request.
+    #: Handles one request and returns the reply.
     RequestHandler = Callable[['ReceivedMessage'], Awaitable[Any]]
-    #: Sends one frame of a reply.
+    #: Sends one message of a streamed reply.
     FrameSender = Callable[[Any], Awaitable[None]]
-    #: Answers one request by sending frames.
+    #: Handles one request and streams the reply.
     StreamHandler = Callable[['ReceivedMessage', FrameSender], Awaitable[None]]
 
 logger = logging.getLogger(__name__)
@@ -47,23 +47,23 @@
 
 
 class Method(msgspec.Struct, frozen=True):
-    """A unary method: its path and the types of both directions."""
+    """An RPC method: its path, and the types of its requests and replies."""
 
     path: str
     request: Any
     reply: Any
-    #: Whether its calls share one stream with others to the same process.
+    #: Whether its calls to a process share one stream with other multiplexed calls.
     multiplexed: bool = False
 
 
 class CallServer:
-    """Serve typed unary methods; refuse strangers."""
+    """Serve typed methods; refuse messages that fail authentication."""
 
     def __init__(self, *, node: Node) -> None:
         """Serve on the address of ``node``."""
         self.node = node
         self.mapping: dict[str, Handler] = {}
-        #: What answers multiplexed calls, and the type of their requests, by path.
+        #: Request type and handler of multiplexed methods by path.
         self.handlers: dict[str, tuple[Any, RequestHandler]] = {}
         self.server: Server | None = None
 
@@ -72,7 +72,7 @@
         method: Method,
         handle: RequestHandler,
     ) -> None:
-        """Serve ``method`` with ``handle``."""
+        """Serve a unary method with ``handle``."""
         if method.multiplexed:
             self._add_multiplexed(method, handle)
             return
@@ -90,14 +90,14 @@
     def add_client_stream(
         self,
         method: Method,
-        take: Callable[[ReceivedMessage], None],
+        on_request: Callable[[ReceivedMessage], None],
     ) -> None:
-        """Serve a long stream of requests to ``method`` without replies."""
+        """Serve a client-streaming method; ``on_request`` gets each request."""
 
         async def serve(stream: Stream[Any, Any]) -> None:  # noqa: WPS430
             try:
                 async for received in stream:
-                    self._handle_unless_dropped(received, take)
+                    self._handle_unless_dropped(received, on_request)
             except StrangerError as error:
                 self._refuse(error)
             await stream.send_message(Empty())
@@ -114,7 +114,7 @@
         method: Method,
         handle: StreamHandler,
     ) -> None:
-        """Serve ``method`` with many frames for one request."""
+        """Serve a server-streaming method."""
 
         async def serve(stream: Stream[Any, Any]) -> None:  # noqa: WPS430
             try:
@@ -132,11 +132,11 @@
         )
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the methods in grpclib's form."""
+        """Return the handlers by path, as grpclib expects them."""
         return self.mapping
 
     async def start(self) -> None:
-        """Listen; a port of 0 is replaced by the one that was taken."""
+        """Start listening; port 0 is replaced by the port that the system assigned."""
         host, port = split_address(self.node.address)
         self.server = Server([self], codec=AuthenticatedCodec(node=self.node))
         await self.server.start(host, port)
@@ -185,10 +185,10 @@
         await stream.send_message(await handle(received))
 
     def _handle_unless_dropped(
-        self, received: ReceivedMessage, take: Callable[[ReceivedMessage], None]
+        self, received: ReceivedMessage, on_request: Callable[[ReceivedMessage], None]
     ) -> None:
         if not self.node.drill.drops(received.address):
-            take(received)
+            on_request(received)
 
     def _refuse(self, error: StrangerError) -> NoReturn:
         self.node.events.emit(logger, Event.stranger_refused, detail=str(error))
@@ -196,13 +196,13 @@
 
 
 class CallClient:
-    """Call typed unary methods; one channel per address, made on demand."""
+    """Call typed methods over one channel per address, opened on demand."""
 
     def __init__(self, *, node: Node) -> None:
         """Call as ``node``."""
         self.node = node
         self.channels = ChannelPool(node=node)
-        #: Streams of multiplexed calls by address.
+        #: Multiplexed streams by address.
         self.multiplexers: dict[str, ClientMultiplexer] = {}
         self.tasks = TaskSet()
 
@@ -214,10 +214,10 @@
         *,
         timeout_s: float,
     ) -> ReceivedMessage:
-        """Call ``method`` at ``address``.
+        """Call a unary method at ``address``.
 
         :raises NotSentError: when no connection could be made.
-        :raises UnreachableError: when no whole, authentic reply came in time.
+        :raises UnreachableError: when no complete and authentic reply arrived in time.
         """
         if self.node.drill.drops(address):
             await asyncio.sleep(timeout_s)
@@ -231,7 +231,7 @@
             method.reply,
         )
         try:
-            # A timeout scope costs no task, as waiting for one would.
+            # A timeout scope needs no separate task.
             async with asyncio.timeout(timeout_s):
                 return await stub(message)
         except CALL_ERRORS as error:
@@ -243,14 +243,14 @@
         address: str,
         method: Method,
         message: Any,
-        take: Callable[[Any], None],
+        on_message: Callable[[Any], None],
         *,
         timeout_s: float,
     ) -> None:
-        """Call ``method`` and give each frame's body to ``take``.
+        """Call a server-streaming method and pass the body of each message to ``on_message``.
 
         :raises NotSentError: when no connection could be made.
-        :raises UnreachableError: when the frames broke off or were late.
+        :raises UnreachableError: when the stream broke or timed out.
         """
         stub = UnaryStreamMethod(
             await self.channels.connect(address, timeout_s),
@@ -262,7 +262,7 @@
             async with asyncio.timeout(timeout_s), stub.open() as stream:
                 await stream.send_message(message, end=True)
                 async for received in stream:
-                    take(received.body)
+                    on_message(received.body)
         except CALL_ERRORS as error:
             detail = f'{method.path} at {address}: {type(error).__name__} {error}'
             raise UnreachableError(detail) from None
@@ -273,9 +273,9 @@
         method: Method,
         source: asyncio.Queue[Any],
     ) -> None:
-        """Send all that comes from ``source`` until the connection breaks.
+        """Send all messages from ``source`` until the connection breaks.
 
-        :raises UnreachableError: when it does.
+        :raises UnreachableError: when the connection breaks.
         """
         stub = StreamUnaryMethod(
             await self.channels.connect(address, CONNECT_TIMEOUT_S),
@@ -319,14 +319,14 @@
         )
 
     async def _multiplexer(self, address: str, timeout_s: float) -> ClientMultiplexer:
-        """Return the open stream of multiplexed calls to ``address``.
+        """Return the open multiplexer to ``address``; open one if necessary.
 
         :raises NotSentError: when no connection could be made.
         """
         multiplexer = self.multiplexers.get(address)
         if multiplexer is None or multiplexer.closed_reason:
             channel = await self.channels.connect(address, timeout_s)
-            # Another call may have opened one while this one connect.
+            # Another call may have opened a stream while this one was connecting.
             multiplexer = self.multiplexers.get(address)
         if multiplexer is None or multiplexer.closed_reason:
             multiplexer = ClientMultiplexer()
--- a/ringseam/zones.py
+++ b/ringseam/zones.py
@@ -6,10 +6,10 @@
 
 
 class DrainedZones(Tagged, frozen=True, kw_only=True, omit_defaults=True):
-    """The availability zones whose backend servers get nothing new.
+    """The availability zones whose backend servers get no new requests.
 
-    ``change`` counts the orders that changed them. What has a higher count is newer,
-    whoever tells it.
+    ``change`` counts the changes to this set; a higher count is newer, whichever process
+    sent it.
     """
 
     change: int = 0
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents as they travel: differences, history and parts."""
+"""Delta encoding of documents, and the history of documents and deltas."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def document(number, count, **changed):
-    """Return a document of routes that look alike."""
+    """Return a document of similar routes."""
     routes = [
         {
             'name': f'r-{route}',
@@ -26,32 +26,32 @@
     return json.dumps({'version': number, 'routes': routes}, separators=(',', ':')).encode()
 
 
-pieces = st.lists(st.sampled_from([b'a', b'b', b'},{', b'{"x":1}', b'},{c}']), max_size=30)
+texts = st.lists(st.sampled_from([b'a', b'b', b'},{', b'{"x":1}', b'},{c}']), max_size=30)
 
 
-@given(pieces.map(b''.join), pieces.map(b''.join))
-def test_change_makes_the_document_that_it_was_made_for(held, wanted):
-    assert apply_delta(held, encode_delta(held, wanted)) == wanted
+@given(texts.map(b''.join), texts.map(b''.join))
+def test_change_makes_the_document_that_it_was_made_for(base, target):
+    assert apply_delta(base, encode_delta(base, target)) == target
 
 
-def test_change_of_one_route_among_thousands_is_small():
-    """Load: a change each 0.3 s with 2,000 routes, over links of 5 Mbit/s. Grounds:
-    half a kilobyte takes 0.8 ms there, by its bandwidth."""
-    held, wanted = document(1, 2000), document(2, 2000, r700=5)
-    assert len(encode_delta(held, wanted)) < 500
-    assert len(encode_delta(b'', wanted)) < len(wanted) / 10
+def test_delta_of_one_route_among_thousands_is_small():
+    """With 2,000 routes, a change each 0.3 s and links of 5 Mbit/s, half a kilobyte takes
+    0.8 ms of the link."""
+    base, target = document(1, 2000), document(2, 2000, r700=5)
+    assert len(encode_delta(base, target)) < 500
+    assert len(encode_delta(b'', target)) < len(target) / 10
 
 
-@pytest.mark.parametrize('change', [b'', b'nothing', zlib.compress(b'nothing')])
-def test_change_that_can_not_be_read_is_an_error(change):
+@pytest.mark.parametrize('delta', [b'', b'nothing', zlib.compress(b'nothing')])
+def test_malformed_delta_is_an_error(delta):
     with pytest.raises(DocumentError):
-        apply_delta(b'', change)
+        apply_delta(b'', delta)
 
 
-def test_change_for_another_document_is_an_error():
-    change = encode_delta(document(1, 9), document(2, 9, r3=1))
+def test_delta_of_another_base_is_an_error():
+    delta = encode_delta(document(1, 9), document(2, 9, r3=1))
     with pytest.raises(DocumentError):
-        apply_delta(document(1, 8), change)
+        apply_delta(document(1, 8), delta)
 
 
 def test_history_of_large_documents_keeps_the_newest_and_few_others():
@@ -61,16 +61,16 @@
     assert list(history.documents) == [4, 5]
 
 
-def test_history_gives_changes_between_what_it_holds():
+def test_history_gives_deltas_between_the_documents_it_has():
     history = DocumentHistory()
     for number in range(1, 40):
         history.add(number, document(number, number))
-    change = history.delta(38, 39)
-    assert apply_delta(document(38, 38), change) == document(39, 39)
+    delta = history.delta(38, 39)
+    assert apply_delta(document(38, 38), delta) == document(39, 39)
     assert apply_delta(b'', history.delta(0, 39)) == document(39, 39)
 
 
-def test_history_lacks_what_is_old_or_unknown():
+def test_history_has_no_delta_of_old_or_unknown_documents():
     history = DocumentHistory()
     for number in range(1, 40):
         history.add(number, b'd')
--- a/tests/test_rpc/test_rpc_connections.py
+++ b/tests/test_rpc/test_rpc_connections.py
@@ -1,4 +1,4 @@
-"""Connections that break while they are made."""
+"""Connections that break while they are being established."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 PING = Method(path='/ringseam.Test/Ping', request=Empty, reply=Empty)
 
 
-def closed_before_use(client: CallClient, address: str) -> None:
-    """Make the channel to ``address`` lose its connection once it is made.
+def close_after_handshake(client: CallClient, address: str) -> None:
+    """Make the channel to ``address`` lose its connection right after the handshake.
 
-    A process that is killed with the connection in its backlog resets it after
-    the handshake and before the caller's task runs again.
+    It happens when a process is killed while the connection is in its accept backlog: the
+    reset arrives after the handshake, before the task of the caller runs again.
     """
     channel = client.channels._channel(address)
     connect = channel.__connect__
 
-    async def lose():
+    async def connect_and_lose():
         protocol = await connect()
         protocol.processor.close(reason='reset by the peer')
         return protocol
 
-    channel.__connect__ = lose
+    channel.__connect__ = connect_and_lose
 
 
 @pytest.fixture
@@ -38,14 +38,14 @@
         yield server
 
 
-def test_connection_that_is_lost_as_it_is_made_was_not_used(listener):
-    """Seen once in CI: AttributeError instead of a tagged error."""
+def test_connection_lost_right_after_handshake_raises_not_sent(listener):
+    """Such a connection used to raise AttributeError instead of NotSentError."""
     host, port = listener.getsockname()
 
     async def call() -> None:
         client = CallClient(node=Node(name='a', role='entry', address='', secret=b'x'))
         address = f'{host}:{port}'
-        closed_before_use(client, address)
+        close_after_handshake(client, address)
         try:
             await client.call(address, PING, Empty(), timeout_s=1)
         finally:
--- a/tests/test_rpc/test_rpc_multiplex.py
+++ b/tests/test_rpc/test_rpc_multiplex.py
@@ -1,4 +1,4 @@
-"""Calls that share one stream: each gets its own answer, or hears that there is none."""
+"""Multiplexed calls: each gets its own reply or fails."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 SECRET = b'0123456789abcdef'
 
 
-class Word(Message, frozen=True, kw_only=True):
-    """What is said and echoed."""
+class Text(Message, frozen=True, kw_only=True):
+    """A request and its echo."""
 
     text: str
 
 
-ECHO = Method('/ringseam.Test/Echo', Word, Word, multiplexed=True)
+ECHO = Method('/ringseam.Test/Echo', Text, Text, multiplexed=True)
 HANG = Method('/ringseam.Test/Hang', Empty, Empty, multiplexed=True)
 BREAK = Method('/ringseam.Test/Break', Empty, Empty, multiplexed=True)
 ABSENT = Method('/ringseam.Test/Absent', Empty, Empty, multiplexed=True)
@@ -37,8 +37,8 @@
 
     def __init__(self):
         self.server = CallServer(node=node('server'))
-        self.begun = 0
-        self.left = 0
+        self.started = 0
+        self.cancelled = 0
         self.server.add(ECHO, self.echo)
         self.server.add(HANG, self.hang)
         self.server.add(BREAK, self.fail)
@@ -48,16 +48,16 @@
         return self.server.node.address
 
     async def echo(self, received):
-        # The later a word was said, the sooner it is echoed.
+        # Requests with higher numbers are answered sooner, so replies arrive out of order.
         await asyncio.sleep(0.05 / int(received.body.text))
-        return Word(text=f'{received.sender} {received.body.text}')
+        return Text(text=f'{received.sender} {received.body.text}')
 
     async def hang(self, received):
-        self.begun += 1
+        self.started += 1
         try:
             await asyncio.sleep(60)
         finally:
-            self.left += 1
+            self.cancelled += 1
 
     async def fail(self, received):
         raise RuntimeError('a fault of this process')
@@ -75,11 +75,11 @@
         await peer.server.close()
 
 
-def test_each_call_gets_its_own_answer_in_any_order():
+def test_each_call_gets_its_own_reply_in_any_order():
     async def run():
         async with connected() as (peer, client):
             calls = [
-                client.call(peer.address, ECHO, Word(text=str(number)), timeout_s=5)
+                client.call(peer.address, ECHO, Text(text=str(number)), timeout_s=5)
                 for number in range(1, 60)
             ]
             replies = await asyncio.gather(*calls)
@@ -90,94 +90,95 @@
 
 
 @pytest.mark.parametrize('cancels', [True, False], ids=['cancelled', 'timed-out'])
-def test_call_that_nobody_waits_for_is_cancelled_there(cancels):
+def test_abandoned_call_is_cancelled_at_the_peer(cancels):
     async def run():
         async with connected() as (peer, client):
             call = asyncio.ensure_future(
                 client.call(peer.address, HANG, Empty(), timeout_s=60 if cancels else 0.1),
             )
-            while not peer.begun:
+            while not peer.started:
                 await asyncio.sleep(0.001)
             if cancels:
                 call.cancel()
             with pytest.raises(asyncio.CancelledError if cancels else UnreachableError):
                 await call
             async with asyncio.timeout(2):
-                while not peer.left:
+                while not peer.cancelled:
                     await asyncio.sleep(0.001)
-            # The stream serves on.
-            reply = await client.call(peer.address, ECHO, Word(text='7'), timeout_s=5)
+            # The stream can still be used.
+            reply = await client.call(peer.address, ECHO, Text(text='7'), timeout_s=5)
             assert reply.body.text == 'client 7'
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize(('method', 'said'), [(BREAK, 'RuntimeError'), (ABSENT, 'no such method')])
-def test_call_that_fails_there_fails_here_at_once(method, said):
+@pytest.mark.parametrize(
+    ('method', 'detail'), [(BREAK, 'RuntimeError'), (ABSENT, 'no such method')]
+)
+def test_call_that_fails_at_the_peer_fails_here_at_once(method, detail):
     async def run():
         async with connected() as (peer, client):
-            with pytest.raises(UnreachableError, match=said):
+            with pytest.raises(UnreachableError, match=detail):
                 await client.call(peer.address, method, Empty(), timeout_s=60)
 
     asyncio.run(run())
 
 
-def test_malformed_request_fails_and_the_stream_serves_on():
-    wrong = Method(ECHO.path, Empty, Word, multiplexed=True)
+def test_malformed_request_fails_and_the_stream_stays_usable():
+    wrong = Method(ECHO.path, Empty, Text, multiplexed=True)
 
     async def run():
         async with connected() as (peer, client):
             with pytest.raises(UnreachableError, match='malformed'):
                 await client.call(peer.address, wrong, Empty(), timeout_s=60)
-            reply = await client.call(peer.address, ECHO, Word(text='3'), timeout_s=5)
+            reply = await client.call(peer.address, ECHO, Text(text='3'), timeout_s=5)
             assert reply.body.text == 'client 3'
 
     asyncio.run(run())
 
 
-def test_stranger_is_refused():
+def test_client_with_another_key_is_refused():
     async def run():
         async with connected(secret=b'another-key-of-16') as (peer, client):
             with pytest.raises(UnreachableError):
-                await client.call(peer.address, ECHO, Word(text='1'), timeout_s=5)
+                await client.call(peer.address, ECHO, Text(text='1'), timeout_s=5)
 
     asyncio.run(run())
 
 
-def test_lost_connection_fails_what_waits_and_the_next_call_makes_another():
+def test_lost_connection_fails_pending_calls_and_the_next_call_reconnects():
     async def run():
         async with connected() as (peer, client):
             call = asyncio.ensure_future(
                 client.call(peer.address, HANG, Empty(), timeout_s=60),
             )
-            while not peer.begun:
+            while not peer.started:
                 await asyncio.sleep(0.001)
             protocol = await client.channels.by_address[peer.address].__connect__()
             protocol.processor.close(reason='reset by the peer')
             with pytest.raises(UnreachableError):
                 await call
-            reply = await client.call(peer.address, ECHO, Word(text='4'), timeout_s=5)
+            reply = await client.call(peer.address, ECHO, Text(text='4'), timeout_s=5)
             assert reply.body.text == 'client 4'
-            assert peer.left == 1
+            assert peer.cancelled == 1
 
     asyncio.run(run())
 
 
-def test_nobody_there_means_that_nothing_was_sent():
+def test_refused_connection_raises_not_sent():
     async def run():
         client = CallClient(node=node('client'))
         try:
             with pytest.raises(NotSentError):
-                await client.call('127.0.0.1:1', ECHO, Word(text='1'), timeout_s=1)
+                await client.call('127.0.0.1:1', ECHO, Text(text='1'), timeout_s=1)
         finally:
             client.close()
 
     asyncio.run(run())
 
 
-def test_frames_that_gather_while_one_is_sent_leave_together():
-    """Under load a message is shared by many calls, so that a call costs the less the
-    more there are."""
+def test_frames_queued_during_a_send_go_out_in_one_message():
+    """Under load, calls share messages, which lowers the cost per call."""
 
     async def run():
         outbox = Outbox()
