--- a/ringseam/config.py
+++ b/ringseam/config.py
@@ -1,8 +1,8 @@
-"""Operators' files: one declarative file per part, and the whole of them.
+"""Part files: the declarative configuration of each part, and all of them together.
 
-A file is checked as a whole and takes effect as a whole. Names in a file are
-of its own part; another part's pool is written ``part/pool`` and needs a grant
-in that part's file.
+A part file is validated completely and takes effect atomically. Unqualified names belong to the
+file's own part; a pool of another part is written ``part/pool`` and must be granted in that
+part's file.
 """
 
 from __future__ import annotations
@@ -33,14 +33,21 @@
         name='operator_token_sha256',
         kind=Kind.text,
         required=True,
-        text='SHA-256 of the token that later applies of this part must show',
+        text='SHA-256 of the token required to apply this part again',
     ),
 )
 ACCOUNT_KEYS = (
     Key(name='token_sha256', kind=Kind.text, required=True, text='SHA-256 of the bearer token'),
     Key(name='rate_per_s', kind=Kind.number, default=1000, low=1, high=1_000_000),
     Key(name='concurrency', kind=Kind.number, default=256, low=1, high=1_000_000),
-    Key(name='weight', kind=Kind.number, default=1, low=1, high=1000, text='fair share at queues'),
+    Key(
+        name='weight',
+        kind=Kind.number,
+        default=1,
+        low=1,
+        high=1000,
+        text='relative share in fair queues',
+    ),
 )
 POOL_KEYS = (
     Key(name='kind', kind=Kind.choice, default='service', choices=('service', 'engine')),
@@ -49,8 +56,8 @@
     Key(name='not_run_statuses', kind=Kind.numbers, default=(), low=400, high=599),
     Key(name='echoes_id', kind=Kind.boolean, default=False),
     Key(name='checks_fencing', kind=Kind.boolean, default=False),
-    Key(name='models', kind=Kind.names, default=(), text='models the engines shall hold'),
-    Key(name='drain', kind=Kind.names, default=(), text='agents that shall get no new work'),
+    Key(name='models', kind=Kind.names, default=(), text='models that engines must load'),
+    Key(name='drain', kind=Kind.names, default=(), text='agents that must get no new work'),
 )
 STAGE_KEYS = (
     Key(name='pool', kind=Kind.qualified, required=True),
@@ -61,8 +68,8 @@
     Key(name='max_tries', kind=Kind.number, default=3, low=1, high=16),
 )
 PIPELINE_KEYS = (
-    Key(name='stages', kind=Kind.names, required=True, text='in the order they run'),
-    Key(name='accounts', kind=Kind.names, required=True, text='client accounts that may call'),
+    Key(name='stages', kind=Kind.names, required=True, text='stages in execution order'),
+    Key(name='accounts', kind=Kind.names, required=True, text='client accounts allowed to call'),
     Key(name='deadline_ms', kind=Kind.number, default=4000, low=1, high=60 * _MINUTE_MS),
     Key(name='priority', kind=Kind.choice, default='normal', choices=PRIORITIES),
     Key(name='recorded', kind=Kind.boolean, default=False),
@@ -71,7 +78,7 @@
 )
 GRANT_KEYS = (Key(name='pools', kind=Kind.names, required=True),)
 
-SECTIONS: dict[str, tuple[Key, ...]] = {  # noqa: WPS407 - the file's grammar
+SECTIONS: dict[str, tuple[Key, ...]] = {  # noqa: WPS407 - schema of part files
     'part': PART_KEYS,
     'account': ACCOUNT_KEYS,
     'pool': POOL_KEYS,
@@ -83,7 +90,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Account:
-    """A client account with its limits."""
+    """A client account and its limits."""
 
     name: str
     token_sha256: str
@@ -94,7 +101,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Pool:
-    """Backend servers of one kind."""
+    """A group of interchangeable backend servers."""
 
     name: str
     kind: str
@@ -109,7 +116,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Stage:
-    """One step of a pipeline."""
+    """A step of a pipeline, run by one pool."""
 
     name: str
     pool: str
@@ -122,7 +129,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Pipeline:
-    """Stages in order, who may call them, and by when they must be done."""
+    """An ordered list of stages with its allowed accounts and its deadline."""
 
     name: str
     stages: tuple[Stage, ...]
@@ -141,7 +148,7 @@
 
 @dataclass(kw_only=True)
 class PartFile:
-    """What one part's file says."""
+    """The parsed content of a part file."""
 
     name: str
     operator_token_sha256: str
@@ -153,59 +160,59 @@
 
 
 def apply_id(text: str, expect: int) -> str:
-    """Return the identity of one apply: the file and what it expects."""
+    """Return the ID of an apply, derived from the file and the expected revision."""
     return hashlib.sha256(f'{expect}\n{text}'.encode()).hexdigest()
 
 
 def read_part(text: str, *, path: str) -> PartFile:
-    """Read one part's file.
+    """Parse and validate a part file.
 
-    :raises FindingsError: with every finding, when there is one.
+    :raises FindingsError: with all findings, if the file is invalid.
     """
     document = parse_ini(text, path=path)
     part = _PartReader(document=document).read()
     if document.findings:
-        raise FindingsError(sorted(document.findings, key=_by_line))
+        raise FindingsError(sorted(document.findings, key=_line_and_key))
     return part
 
 
 def part_mismatch(path: str, named: str, applied: str) -> Finding:
-    """Return the finding on a file that names another part than applied."""
+    """Return the finding for a file that names a different part than the one applied."""
     return Finding(
         path=path,
         line=0,
         section='part',
         key='name',
-        message=f'the file is of part "{named}", not of "{applied}"',
+        message=f'the file belongs to part "{named}", not to "{applied}"',
     )
 
 
-def _by_line(finding: Finding) -> tuple[int, str]:
+def _line_and_key(finding: Finding) -> tuple[int, str]:
     return finding.line, finding.key
 
 
-#: Typed keys by the name of their section.
+#: Typed values by section name, then by key.
 Sections = dict[str, dict[str, Any]]
 
 
 class _PartReader:
-    """Turn a document into a part, collecting findings in the document."""
+    """Builds a part from an INI document and collects findings in the document."""
 
     def __init__(self, *, document: Document) -> None:
         self.document = document
         self.sections: dict[str, Sections] = {kind: {} for kind in SECTIONS}
 
     def read(self) -> PartFile:
-        """Read all sections, then tie them together by name."""
+        """Read all sections, then resolve the references between them."""
         for section in self.document.parser.sections():
             self._read_section(section)
         if '' not in self.sections['part']:
-            self.document.report('part', '', 'missing; a file names its part')
+            self.document.report('part', '', 'missing; each file must name its part')
         part = self.sections['part'].get('', {'name': '', 'operator_token_sha256': ''})
         self._check_digest('part', 'operator_token_sha256', part['operator_token_sha256'])
         name = part['name'] or ''
         if '/' in name:
-            self.document.report('part', 'name', 'a part has no "/" in its name')
+            self.document.report('part', 'name', 'the name of a part must not contain "/"')
         part_file = PartFile(name=name, operator_token_sha256=part['operator_token_sha256'] or '')
         self._read_accounts_pools_and_grants(part_file)
         self._read_stages(part_file)
@@ -220,7 +227,7 @@
             return
         if (kind == 'part') == bool(name):
             expected = '[part]' if kind == 'part' else f'[{kind} NAME]'
-            self.document.report(section, '', f'is written {expected}')
+            self.document.report(section, '', f'must be written as {expected}')
         self.sections[kind][name.strip()] = self.document.read(section, SECTIONS[kind])
 
     def _check_digest(self, section: str, key: str, text: str | None) -> None:
@@ -260,7 +267,7 @@
             self._check_known(section, 'stages', stages, part.stages)
             self._check_known(section, 'accounts', accounts, part.accounts)
             if len(set(stages)) < len(stages):
-                self.document.report(section, 'stages', 'a stage stands twice')
+                self.document.report(section, 'stages', 'a stage is listed more than once')
             part.pipelines[full_name] = Pipeline(
                 name=full_name,
                 stages=tuple(part.stages[stage] for stage in stages if stage in part.stages),
@@ -277,23 +284,23 @@
     ) -> None:
         for name in names:
             if name not in known:
-                short = name.rpartition('/')[-1]
-                hint = nearest(short, [full_name.rpartition('/')[-1] for full_name in known])
-                self.document.report(section, key, f'"{short}" is not in this file{hint}')
+                short_name = name.rpartition('/')[-1]
+                hint = nearest(short_name, [full_name.rpartition('/')[-1] for full_name in known])
+                self.document.report(section, key, f'"{short_name}" is not in this file{hint}')
 
 
 @dataclass(kw_only=True)
 class Configuration:
-    """All parts at one revision; replaced whole, never changed in place."""
+    """All parts at one revision; treated as immutable and replaced as a whole."""
 
     revision: int = 0
     files: dict[str, AcceptedFile] = field(default_factory=dict)
     parts: dict[str, PartFile] = field(default_factory=dict)
 
     def updated(self, revision: int, files: Iterable[AcceptedFile]) -> Configuration:
-        """Return the configuration with newer ``files`` taken in.
+        """Return a configuration that includes the newer ``files``.
 
-        A part whose text this version can't read keeps its former meaning.
+        :raises FindingsError: if this version can't read a file; the caller keeps the old parts.
         """
         merged = dict(self.files)
         parts = dict(self.parts)
@@ -324,7 +331,7 @@
         return part.accounts.get(name) if part else None
 
     def may_use(self, user: str, pool: str) -> bool:
-        """Return whether part ``user`` may use ``pool`` now."""
+        """Return whether part ``user`` owns ``pool`` or has a grant for it."""
         owner = pool.partition('/')[0]
         if owner == user:
             return True
@@ -332,7 +339,7 @@
         return bool(part and pool in part.grants.get(user, ()))
 
     def account_by_token(self, token_sha256: str) -> Account | None:
-        """Return the client account whose token has this digest."""
+        """Return the client account with this token digest."""
         for part in self.parts.values():
             for account in part.accounts.values():
                 if account.token_sha256 == token_sha256:
@@ -340,7 +347,7 @@
         return None
 
     def grant_findings(self, part: PartFile, *, path: str) -> list[Finding]:
-        """Return findings on what ``part`` uses of the other parts."""
+        """Return a finding for each stage that uses a pool not granted to ``part``."""
         return [
             Finding(
                 path=path,
--- a/ringseam/routes.py
+++ b/ringseam/routes.py
@@ -1,4 +1,4 @@
-"""The table of routes that gateways serve by: typed, validated, immutable."""
+"""The immutable route table used by gateways."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from dataclasses import dataclass, field
 from typing import NewType
 
-#: Name of a service: backend servers that do the same work.
+#: Name of a service: a group of interchangeable backend servers.
 ServiceName = NewType('ServiceName', str)
-#: Name of a client account, as backend servers are told it.
+#: Name of a client account, as sent to backend servers.
 AccountName = NewType('AccountName', str)
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated."""
+    """Whether a request may be repeated, and whether its response is a stream."""
 
     idempotent = 'idempotent'
     non_idempotent = 'non_idempotent'
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RouteStage:
-    """Work to be done before a request can run; ``after`` are stage numbers."""
+    """A stage that runs before the request; ``after`` lists the stages it depends on."""
 
     service: ServiceName
     after: tuple[int, ...] = ()
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Target:
-    """A service that may serve a route, and its share of the requests."""
+    """A service that serves a route, with its relative share of the requests."""
 
     service: ServiceName
     weight: float = 1
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Route:
-    """How requests of one host and path prefix are served; seconds."""
+    """How requests for a host and path prefix are served."""
 
     name: str
     host: str
@@ -55,7 +55,7 @@
     affinity: bool = False
     resumable: bool = False
     gap_objective_s: float = 0
-    #: Regions in which its requests may run; empty: all.
+    #: Regions in which requests of this route may run; empty: all.
     regions: frozenset[str] = frozenset()
 
     @property
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BatchSpec:
-    """How a stage service takes pieces; one backend server's limits."""
+    """Batching of pieces at a stage service; limits apply to each backend server."""
 
     slots: int
     queue: int
@@ -78,13 +78,13 @@
 
     @property
     def full_call_s(self) -> float:
-        """Return how long a full call takes, seconds."""
+        """Return the duration of a call with a full batch, in seconds."""
         return self.call_s + self.batch * self.piece_s
 
 
 @dataclass(frozen=True, kw_only=True)
 class EngineSpec:
-    """One model engine's limits."""
+    """Limits of a model engine."""
 
     slots: int
     cache_tokens: int
@@ -92,41 +92,41 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ColdSpec:
-    """What one backend server bears after it has started."""
+    """Reduced request rate of a backend server after its start."""
 
-    #: How long it is cold, seconds.
+    #: How long a server is cold after its start.
     duration_s: float
-    #: Requests a second that it bears meanwhile.
+    #: Request rate that a cold server sustains.
     requests_per_s: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class BackendService:
-    """A service and the limits of each of its backend servers."""
+    """A service and the limits that apply to each of its backend servers."""
 
     name: ServiceName
     health_path: str
     max_connections: int
     engine: EngineSpec | None = None
     batching: BatchSpec | None = None
-    #: None: its servers bear all that they bear later from their start.
+    #: None: servers sustain their full load from the start.
     cold: ColdSpec | None = None
 
 
 @dataclass(frozen=True, kw_only=True)
 class Account:
-    """A client account; its priority goes before the route's."""
+    """A client account; its priority, if set, overrides that of the route."""
 
     name: AccountName
     keys: frozenset[str]
     priority: int | None = None
-    #: Regions in which its requests may run; empty: all.
+    #: Regions in which requests of this account may run; empty: all.
     regions: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, kw_only=True)
 class ClientLimits:
-    """What clients may send; bytes and seconds."""
+    """Size and time limits for requests of clients."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -136,18 +136,18 @@
 
 @dataclass(kw_only=True)
 class HostRoutes:
-    """The routes of one host by their prefixes, of which no two are the same.
+    """The routes of a host, indexed by their unique prefixes.
 
-    A document may have thousands; a look-up for each length of a prefix takes 2 us where
-    trying one route after the other took 200, with 4,200 routes of one host.
+    A route document may have thousands of routes. With 4,200 routes of one host, a lookup for
+    each prefix length takes 2 us, a linear search 200 us.
     """
 
     routes_by_prefix: dict[str, Route] = field(default_factory=dict)
-    #: Lengths of prefixes, longest first.
+    #: Distinct prefix lengths, longest first.
     prefix_lengths: list[int] = field(default_factory=list)
 
     def add(self, route: Route) -> None:
-        """Add a route; the first with a prefix stays."""
+        """Add a route, unless its prefix already has one."""
         self.routes_by_prefix.setdefault(route.prefix, route)
         length = len(route.prefix)
         if length not in self.prefix_lengths:
@@ -155,7 +155,7 @@
             self.prefix_lengths.sort(reverse=True)
 
     def match(self, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins ``path``."""
+        """Return the route with the longest prefix that matches ``path``."""
         for length in self.prefix_lengths:
             route = self.routes_by_prefix.get(path[:length])
             if route is not None:
@@ -165,7 +165,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RouteTable:
-    """One version of all routes, services and client accounts."""
+    """A version of all routes, services and client accounts."""
 
     number: int = 0
     routes: tuple[Route, ...] = ()
@@ -183,10 +183,10 @@
             self.by_key.update(dict.fromkeys(account.keys, account))
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins ``path``."""
+        """Return the route with the longest prefix that matches ``path``."""
         routes = self.by_host.get(host)
         return routes.match(path) if routes else None
 
     def account_by_key(self, key: str) -> Account | None:
-        """Return the client account that holds ``key``."""
+        """Return the client account with this API key."""
         return self.by_key.get(key)
--- a/ringseam/routevalidation.py
+++ b/ringseam/routevalidation.py
@@ -1,4 +1,4 @@
-"""What makes a table of routes invalid."""
+"""Validation of route tables."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def validated(table: RouteTable, *, path: str) -> RouteTable:
-    """Return a valid table, without targets that get no request.
+    """Validate a table and return it without targets of weight 0.
 
-    :param path: names the document that the table came from.
-    :raises FindingsError: when it is invalid, with every finding.
+    :param path: name of the source document, for findings.
+    :raises FindingsError: with all findings, if the table is invalid.
     """
     errors = [*_table_errors(table), *_shared_key_errors(table.accounts)]
     if errors:
@@ -42,7 +42,7 @@
             yield route.name, error
         host_and_prefix = (route.host, route.prefix)
         if host_and_prefix in seen:
-            yield route.name, 'host and prefix are those of another route'
+            yield route.name, 'another route has the same host and prefix'
         seen.add(host_and_prefix)
 
 
@@ -53,12 +53,12 @@
         if name not in services:
             yield f'unknown service {name!r}'
     if sum(target.weight for target in route.targets) <= 0:
-        yield 'weights add up to 0'
+        yield 'the sum of the weights of all targets is 0'
     if route.timeout_s <= 0:
         yield 'timeout is 0'
     for number, stage in enumerate(route.stages):
         if any(not 0 <= earlier < number for earlier in stage.after):
-            yield f'stage {number} comes after a stage that is not before it'
+            yield f'stage {number} depends on a stage that does not precede it'
 
 
 def _shared_key_errors(accounts: tuple[Account, ...]) -> Iterator[tuple[str, str]]:
--- a/tests/test_config/test_config_findings.py
+++ b/tests/test_config/test_config_findings.py
@@ -1,4 +1,4 @@
-"""Findings of operators' files and settings: all at once, each with its place."""
+"""Findings in part files and settings: all are reported at once, each with its line."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 CASES = (
     ('unknown key', '[pool x]\nkindd = engine\n', 5, 'unknown key; did you mean "kind"?'),
     ('unknown section', '[pols x]\n', 4, 'unknown section; did you mean "pool"?'),
-    ('unnamed section', '[pool]\n', 4, 'is written [pool NAME]'),
+    ('unnamed section', '[pool]\n', 4, 'must be written as [pool NAME]'),
     ('not a number', '[pool x]\nmax_in_flight = many\n', 5, '"many" is not a whole number'),
     ('out of range', '[pool x]\nmax_in_flight = 0\n', 5, '0 is not within 1 and 4096'),
     ('neither yes nor no', '[pool x]\nechoes_id = maybe\n', 5, 'neither yes nor no'),
@@ -24,9 +24,9 @@
     ('missing', '[stage s]\npath = /\n', 4, 'missing; this key is required'),
     ('unknown pool', '[stage s]\npool = x\n', 5, '"x" is not in this file'),
     ('short digest', '[account a]\ntoken_sha256 = abc\n', 5, 'is not a SHA-256'),
-    ('doubled key', '[pool x]\nkind = engine\nkind = service\n', 6, 'stands twice'),
-    ('doubled section', '[pool x]\n[pool x]\n', 5, 'stands twice'),
-    ('no key at all', '[pool x]\nnonsense\n', 5, 'not a section, a key or a comment'),
+    ('duplicate key', '[pool x]\nkind = engine\nkind = service\n', 6, 'stands twice'),
+    ('duplicate section', '[pool x]\n[pool x]\n', 5, 'stands twice'),
+    ('line without a key', '[pool x]\nnonsense\n', 5, 'not a section, a key or a comment'),
     (
         'unknown stage',
         '[pipeline q]\nstages = s\naccounts =\n',
@@ -44,9 +44,9 @@
 def test_one_finding(text, line, message):
     with pytest.raises(FindingsError) as caught:
         read_part(PART + text, path='p.ini')
-    found = [finding for finding in caught.value.findings if message in finding.message]
-    assert [finding.line for finding in found] == [line], str(caught.value)
-    assert str(found[0]).startswith(f'p.ini:{line}: ')
+    matching = [finding for finding in caught.value.findings if message in finding.message]
+    assert [finding.line for finding in matching] == [line], str(caught.value)
+    assert str(matching[0]).startswith(f'p.ini:{line}: ')
 
 
 def test_all_findings_at_once():
@@ -59,7 +59,7 @@
 
 
 @given(st.text(max_size=300))
-def test_any_text_is_read_or_found_fault_with(text):
+def test_any_text_is_read_or_has_findings(text):
     try:
         read_part(text, path='p.ini')
     except FindingsError as error:
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize('role', ROLES)
-def test_default_settings_name_only_what_is_missing(role, tmp_path):
+def test_default_settings_lack_only_required_keys(role, tmp_path):
     with pytest.raises(FindingsError) as caught:
         read_settings(role, default_settings_text(role), path='x.ini')
     assert {finding.message for finding in caught.value.findings} == {
--- a/tests/test_prefixes/test_prefixes_index.py
+++ b/tests/test_prefixes/test_prefixes_index.py
@@ -1,4 +1,4 @@
-"""Prefix affinity from late and gappy cache events."""
+"""Prefix index and prefix affinity with delayed and incomplete cache events."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     gap_percent=st.sampled_from([0, 20, 100]),
     seed=st.integers(0, 99),
 )
-def test_trusted_index_is_right_or_empty(uses, polls, gap_percent, seed):
-    """Differential: after each poll the index equals the cache, or is empty."""
-    dice = random.Random(seed)
+def test_index_equals_cache_or_is_empty(uses, polls, gap_percent, seed):
+    """After each poll, the index either equals the cache or is empty."""
+    rng = random.Random(seed)
     cache, index = PrefixCache(entries=6), PrefixIndex()
     index.resync(cache.whole())
     for number, prefix in enumerate(uses):
-        cache.use(prefix, lose=lambda: dice.random() * 100 < gap_percent)
+        cache.use(prefix, lose=lambda: rng.random() * 100 < gap_percent)
         if number in polls:
             index.apply(cache.since(index.sequence, 0))
             if index.needs_resync:
@@ -39,21 +39,21 @@
                 assert set(index.prefixes) == set(cache.held)
 
 
-def test_restarted_engine_is_not_trusted():
+def test_restart_of_the_engine_requires_resync():
     index = PrefixIndex()
     index.resync(PrefixCache(entries=2).whole())
     index.apply(PrefixCache(entries=2).since(0, 0))
     assert index.needs_resync
 
 
-def test_holder_of_the_prefix_is_chosen():
+def test_agent_with_the_prefix_is_chosen():
     router = AdaptiveRouter(seed=1)
     agents = [agent(number) for number in range(4)]
     agents[2] = msgspec.structs.replace(agents[2], prefixes=(7,))
     assert {router.choose(agents, REQUEST, 0).name for _ in range(50)} == {'a2'}
 
 
-def test_loaded_holder_is_left():
+def test_loaded_agent_with_the_prefix_is_avoided():
     router = AdaptiveRouter(seed=1)
     agents = [agent(number) for number in range(4)]
     agents[2] = msgspec.structs.replace(agents[2], prefixes=(7,))
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,7 +1,8 @@
-"""Tables of routes: which route a request takes, and what thousands of them cost.
+"""Route tables: matching of requests, and the cost of tables with thousands of routes.
 
-The load: a document grows by thousands of routes of one host, and changes five times a
-second. Grounds: reading it is a gateway's largest piece of work, on a third of a core.
+Guards against a table whose construction takes quadratic time. A route document may have
+thousands of routes of one host and change five times a second; reading it is the most expensive
+task of a gateway, which has a third of a core.
 """
 
 import time
@@ -26,30 +27,30 @@
     )
 
 
-def naive(routes, path):
-    """Try all routes, and keep the longest prefix."""
-    found = [one for one in routes if path.startswith(one.prefix)]
-    return max(found, key=lambda one: len(one.prefix), default=None)
+def linear_search(routes, path):
+    """Match by a linear search over all routes."""
+    matching = [candidate for candidate in routes if path.startswith(candidate.prefix)]
+    return max(matching, key=lambda candidate: len(candidate.prefix), default=None)
 
 
 @given(prefixes, st.text('/ab', max_size=8))
-def test_longest_prefix_is_that_of_the_naive_search(names, path):
+def test_longest_prefix_equals_that_of_a_linear_search(names, path):
     routes = [route(name) for name in names]
     table = RouteTable(routes=tuple(routes))
-    assert table.match('h', path) == naive(routes, path)
+    assert table.match('h', path) == linear_search(routes, path)
     assert table.match('other', path) is None
 
 
-def test_work_grows_no_faster_than_the_routes():
-    """Of 32 times the routes each takes as long: 32 times in all, not a thousand."""
+def test_construction_takes_linear_time():
+    """With 32 times as many routes, linear time grows by 32 and quadratic time by 1,024."""
 
-    def took(count):
+    def construction_s(count):
         routes = tuple(route(f'/more-{number}/') for number in range(count))
         samples = []
         for _ in range(5):
-            begun = time.process_time()
+            started = time.process_time()
             RouteTable(routes=routes)
-            samples.append(time.process_time() - begun)
+            samples.append(time.process_time() - started)
         return min(samples)
 
-    assert took(32_000) < 150 * took(1000)
+    assert construction_s(32_000) < 150 * construction_s(1000)
--- a/tests/test_timeline/test_timeline_merge.py
+++ b/tests/test_timeline/test_timeline_merge.py
@@ -1,4 +1,4 @@
-"""Time lines: causal order over processes whose clocks disagree."""
+"""Timelines: causal order of events from processes with skewed clocks."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert 'other' in format_text(events)
 
 
-def test_page_is_whole_and_escaped(tmp_path):
+def test_page_is_complete_and_escaped(tmp_path):
     (tmp_path / 'a.log').write_text(line('a', (1, 0), '<script>', detail='<b>'))
     page = format_html(read_events([tmp_path / 'a.log']))
     assert page.endswith('</html>\n')
