--- a/ringseam/routes.py
+++ b/ringseam/routes.py
@@ -66,7 +66,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BatchSpec:
-    """Batching of pieces at a stage service; limits apply to each backend server."""
+    """Batching of pieces at a stage service; limits apply to each backend server.
+
+    A call with ``n`` pieces takes ``call_s + n * piece_s``.
+    """
 
     slots: int
     queue: int
--- a/tests/test_platform/test_platform_manifest.py
+++ b/tests/test_platform/test_platform_manifest.py
@@ -83,10 +83,13 @@
     [
         ({'routes': [route(service='nobody')]}, 'unknown service'),
         ({'routes': [route(stages=[{'service': 'nobody'}])]}, 'unknown service'),
-        ({'routes': [route(), route(name='q')]}, 'those of another route'),
+        ({'routes': [route(), route(name='q')]}, 'another route has the same host and prefix'),
         ({'routes': [route(timeout_ms=0)]}, 'timeout is 0'),
-        ({'routes': [route(split=[{'service': 'llm', 'weight': 0}])]}, 'add up to 0'),
-        ({'routes': [route(stages=[{'service': 'crops', 'after': [0]}])]}, 'not before it'),
+        (
+            {'routes': [route(split=[{'service': 'llm', 'weight': 0}])]},
+            'weights of all targets is 0',
+        ),
+        ({'routes': [route(stages=[{'service': 'crops', 'after': [0]}])]}, 'does not precede it'),
         (
             {'tenants': [{'name': 't', 'api_keys': ['k']}, {'name': 'u', 'api_keys': ['k']}]},
             'shares a key',
