--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -160,7 +160,7 @@
     Mutation(
         'a late duplicate is judged by its ticket first',
         'ringseam/agent/execution.py',
-        'if existing is not None and refusal is not RefusalReason.incarnation:',
+        'if existing is not None and refusal is not RefusalReason.other_incarnation:',
         'if existing is not None and refusal is None:',
         EXECUTION,
     ),
--- a/ringseam/calls.py
+++ b/ringseam/calls.py
@@ -62,10 +62,10 @@
     not_run: bool
     encoded: bool
     load: ServerLoad | None
-    #: Rate limit that the server announces for all gateways together; None if there is none.
-    limit_per_s: float | None = None
+    #: Announced rate limit, requests per second from all gateways together; None: no limit.
+    rate_limit_per_s: float | None = None
     #: Whether the server announces a rate limit that can't be parsed.
-    limit_unreadable: bool = False
+    rate_limit_malformed: bool = False
     #: How long the server wants no more requests from this gateway, seconds.
     pause_s: float | None = None
     #: Whether the server is leaving, so it accepts no new requests.
--- a/ringseam/gateway/following/serverwords.py
+++ b/ringseam/gateway/following/serverwords.py
@@ -38,7 +38,7 @@
         """Record the notices in a response; ``instance`` is empty if the server is unknown."""
         if not instance:
             return
-        if marks.limit_unreadable:
+        if marks.rate_limit_malformed:
             self._log_unreadable_limit(instance)
         else:
             self._record_limit(instance, marks)
@@ -68,15 +68,15 @@
 
     def _record_limit(self, instance: BackendId, marks: ResponseMetadata) -> None:
         was_limited = self.limits.of(instance) is not None
-        self.limits.record(instance, marks.limit_per_s, self.clock.now())
-        if was_limited == (marks.limit_per_s is not None):
+        self.limits.record(instance, marks.rate_limit_per_s, self.clock.now())
+        if was_limited == (marks.rate_limit_per_s is not None):
             return
         event = Event.limit_ended if was_limited else Event.limit_named
         self.node.events.emit(
             logger,
             event,
             backend=instance,
-            per_s=marks.limit_per_s,
+            per_s=marks.rate_limit_per_s,
             request=marks.attempt_id,
         )
 
--- a/ringseam/model/saying.py
+++ b/ringseam/model/saying.py
@@ -32,7 +32,7 @@
             not_run=pause_s > 0,
             encoded=False,
             load=None,
-            limit_per_s=self.limit_per_s,
+            rate_limit_per_s=self.limit_per_s,
             pause_s=pause_s if pause_s > 0 else None,
             leaving=self.leaving,
         )
--- a/ringseam/multiplex.py
+++ b/ringseam/multiplex.py
@@ -56,7 +56,7 @@
     body: bytes = b''
 
 
-class Frames(Message, frozen=True, kw_only=True):
+class FrameBatch(Message, frozen=True, kw_only=True):
     """Frames sent in one message."""
 
     frames: tuple[Frame, ...]
@@ -75,13 +75,13 @@
         self.frames.append(frame)
         self.has_frames.set()
 
-    async def send_all(self, send: Callable[[Frames], Awaitable[None]]) -> None:
+    async def send_all(self, send: Callable[[FrameBatch], Awaitable[None]]) -> None:
         """Send queued frames until the stream breaks or the task is cancelled."""
         while True:  # noqa: WPS457 - ends with the stream
             await self.has_frames.wait()
             self.has_frames.clear()
             frames, self.frames = self.frames, []
-            await send(Frames(frames=tuple(frames)))
+            await send(FrameBatch(frames=tuple(frames)))
 
 
 class ClientMultiplexer:
--- a/ringseam/platform/requests.py
+++ b/ringseam/platform/requests.py
@@ -141,8 +141,8 @@
         load=ServerLoad(running=load[0], waiting=load[1], slots=load[2])
         if len(load) == 3
         else None,
-        limit_per_s=limit_per_s,
-        limit_unreadable=bool(limit) and limit_per_s is None,
+        rate_limit_per_s=limit_per_s,
+        rate_limit_malformed=bool(limit) and limit_per_s is None,
         pause_s=_amount(head.header(_RETRY_AFTER)) if head.status == _UNAVAILABLE else None,
         leaving=head.header(_LEAVING).strip() == '1',
     )
--- a/ringseam/rpc.py
+++ b/ringseam/rpc.py
@@ -24,7 +24,7 @@
 from ringseam.events import Event
 from ringseam.ids import split_address
 from ringseam.messages import Empty
-from ringseam.multiplex import MULTIPLEX_PATH, ClientMultiplexer, Frames, ServerMultiplexer
+from ringseam.multiplex import MULTIPLEX_PATH, ClientMultiplexer, FrameBatch, ServerMultiplexer
 from ringseam.util.tasks import TaskSet
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
     def __init__(self, *, node: Node) -> None:
         """Serve on the address of ``node``."""
         self.node = node
-        self.mapping: dict[str, Handler] = {}
+        self.grpc_handlers: dict[str, Handler] = {}
         #: Request type and handler of multiplexed methods by path.
         self.handlers: dict[str, tuple[Any, RequestHandler]] = {}
         self.server: Server | None = None
@@ -80,7 +80,7 @@
         async def serve(stream: Stream[Any, Any]) -> None:  # noqa: WPS430
             await self._serve(stream, handle)
 
-        self.mapping[method.path] = Handler(
+        self.grpc_handlers[method.path] = Handler(
             serve,
             Cardinality.UNARY_UNARY,
             method.request,
@@ -102,7 +102,7 @@
                 self._refuse(error)
             await stream.send_message(Empty())
 
-        self.mapping[method.path] = Handler(
+        self.grpc_handlers[method.path] = Handler(
             serve,
             Cardinality.STREAM_UNARY,
             method.request,
@@ -124,7 +124,7 @@
             if received is not None:
                 await handle(received, stream.send_message)
 
-        self.mapping[method.path] = Handler(
+        self.grpc_handlers[method.path] = Handler(
             serve,
             Cardinality.UNARY_STREAM,
             method.request,
@@ -133,7 +133,7 @@
 
     def __mapping__(self) -> dict[str, Handler]:
         """Return the handlers by path, as grpclib expects them."""
-        return self.mapping
+        return self.grpc_handlers
 
     async def start(self) -> None:
         """Start listening; port 0 is replaced by the port that the system assigned."""
@@ -161,11 +161,11 @@
             except StrangerError as error:
                 self._refuse(error)
 
-        self.mapping[MULTIPLEX_PATH] = Handler(
+        self.grpc_handlers[MULTIPLEX_PATH] = Handler(
             serve,
             Cardinality.STREAM_STREAM,
-            Frames,
-            Frames,
+            FrameBatch,
+            FrameBatch,
         )
 
     async def _serve(
@@ -337,7 +337,7 @@
     async def _run_multiplexer(
         self, address: str, channel: Channel, multiplexer: ClientMultiplexer
     ) -> None:
-        stub = StreamStreamMethod(channel, MULTIPLEX_PATH, Frames, Frames)
+        stub = StreamStreamMethod(channel, MULTIPLEX_PATH, FrameBatch, FrameBatch)
         detail = 'the stream ended'
         try:
             async with stub.open() as stream:
--- a/tests/test_agent/test_agent_execution.py
+++ b/tests/test_agent/test_agent_execution.py
@@ -91,7 +91,7 @@
 
 
 REFUSALS = (
-    ('other incarnation', empty_table, dispatch(incarnation='j'), RefusalReason.incarnation),
+    ('other incarnation', empty_table, dispatch(incarnation='j'), RefusalReason.other_incarnation),
     ('old ticket', lambda: aged_table(), dispatch(sequence=1), RefusalReason.stale_ticket),
     ('tombstoned', lambda: tombstoned_table(), dispatch(), RefusalReason.tombstoned),
 )
@@ -124,7 +124,11 @@
 TOMBSTONE_REPLIES = (
     ('running', lambda: running_table(), StageRunning),
     ('done', lambda: finished_table(done()), StageDone),
-    ('not run', lambda: finished_table(StageNotRun(reason=RefusalReason.declared)), StageNotRun),
+    (
+        'not run',
+        lambda: finished_table(StageNotRun(reason=RefusalReason.declared_not_run)),
+        StageNotRun,
+    ),
     ('unknown', lambda: finished_table(StageUnknown(detail='')), StageUnknown),
     ('forgotten', lambda: expired_table(), StageUnknown),
 )
@@ -227,7 +231,7 @@
             self.now,
         )
         if isinstance(reply, StageNotRun):
-            restarted = reply.reason is RefusalReason.incarnation
+            restarted = reply.reason is RefusalReason.other_incarnation
             self.conclude(
                 record.generation, StageState.unknown if restarted else StageState.not_run
             )
@@ -283,7 +287,7 @@
 def is_refusal(decision):
     if not isinstance(decision, Answered) or not isinstance(decision.reply, StageNotRun):
         return False
-    return decision.reply.reason is not RefusalReason.incarnation
+    return decision.reply.reason is not RefusalReason.other_incarnation
 
 
 ACTIONS = ('claim', 'deliver', 'start', 'end', 'restart', 'wait')
--- a/tests/test_agent/test_agent_serverstatus.py
+++ b/tests/test_agent/test_agent_serverstatus.py
@@ -75,7 +75,7 @@
         msgspec.structs.replace(DISPATCH, pipeline='other/two'),
         5,
         0,
-        RefusalReason.unauthorised_pool,
+        RefusalReason.pool_not_granted,
     ),
 )
 
--- a/tests/test_entry/test_entry_claims.py
+++ b/tests/test_entry/test_entry_claims.py
@@ -292,7 +292,7 @@
 def test_refusal_of_the_agent_is_not_run():
     async def run():
         cluster = Cluster()
-        cluster.dispatch = lambda message: StageNotRun(reason=RefusalReason.declared)
+        cluster.dispatch = lambda message: StageNotRun(reason=RefusalReason.declared_not_run)
         assert await StoppableEntry(cluster).send_request() == 'not-run'
 
     asyncio.run(run())
--- a/tests/test_gateway/test_requests/test_requests_limits.py
+++ b/tests/test_gateway/test_requests/test_requests_limits.py
@@ -134,7 +134,7 @@
                 not_run=True,
                 encoded=False,
                 load=None,
-                limit_per_s=1,
+                rate_limit_per_s=1,
                 pause_s=3,
                 leaving=True,
             )
