--- a/ringseam/routes.py
+++ b/ringseam/routes.py
@@ -51,6 +51,7 @@
     priority: int = 0
     max_attempts: int = 1
     stages: tuple[RouteStage, ...] = ()
+    #: Requests need no API key.
     public: bool = False
     affinity: bool = False
     resumable: bool = False
