--- a/bench/policies.py
+++ b/bench/policies.py
@@ -15,7 +15,7 @@
 from collections import defaultdict
 from pathlib import Path
 
-from ringseam.cmd.inspect import add_page
+from ringseam.cmd.inspect import add_metrics_page
 from ringseam.layout import Layout, free_address, token_digest
 from ringseam.load import LoadPlan, LoadRun, Mix
 from tests.processes import System
@@ -235,7 +235,7 @@
     sums = defaultdict(lambda: defaultdict(float))
     tries = 0.0
     for page in pages.values():
-        add_page(sums, page)
+        add_metrics_page(sums, page)
         tries += sum(map(float, re.findall(r'^ringseam_tries_total\{.*\} (\S+)$', page, re.M)))
     seconds = defaultdict(float)
     for key, amounts in sums.items():
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -36,11 +36,11 @@
     PLAIN_SERVICE,
     STAGE_SERVICE,
     STAGED_PATH,
-    example_document,
+    example_manifest,
 )
 from ringseam.platform.registration import CONFIG_PATH, encode_report, report_path
 from ringseam.platform.requests import decode_request, encode_request
-from ringseam.platform.stages import FREE_PATH, RUN_PATH, decode_orders
+from ringseam.platform.stages import RELEASE_PATH, RUN_PATH, decode_piece_requests
 from ringseam.routes import ServiceName
 from ringseam.standin.direct import DirectServer
 from ringseam.web.server import HttpLimits, HttpServer
@@ -220,12 +220,12 @@
         if self.arrivals is not None:
             self.arrivals.append((time.monotonic(), exchange.request.path))
         late = self.left_at is not None and time.monotonic() - self.left_at > DRAIN_S
-        if late and exchange.request.path != FREE_PATH:
+        if late and exchange.request.path != RELEASE_PATH:
             self.book.check(False, f'DRAIN {self.instance} got {exchange.request.path}')
         since = self.book.drained_at
         if self.zone == ZONE and since is not None and time.monotonic() - since > OBEYED_S:
             self.book.check(
-                exchange.request.path == FREE_PATH,
+                exchange.request.path == RELEASE_PATH,
                 f'EVAC {self.instance} got {exchange.request.path}',
             )
         content = ending_of(exchange.request)
@@ -233,11 +233,11 @@
             await self.run_ending(content)
         await super().serve(exchange)
 
-    async def _answer(self, exchange):
+    async def _respond(self, exchange):
         asked = decode_request(exchange.request).attempt_id
         self.book.check(exchange.request.body == asked.encode(), f'UNASKED body of {asked}')
         await asyncio.sleep(self.dice.uniform(0, 0.05))
-        await super()._answer(exchange)
+        await super()._respond(exchange)
 
     async def _stream(self, exchange):
         asked = decode_request(exchange.request).attempt_id
@@ -360,7 +360,7 @@
 
     async def submit(self, version):
         """Send a version until it is acknowledged."""
-        document = json.loads(example_document())
+        document = json.loads(example_manifest())
         document['version'] = version
         pattern = document['routes'][0]
         document['routes'].extend(
@@ -592,12 +592,12 @@
 
     async def check_end(self):
         await asyncio.sleep(LEFT_S)
-        ran = collections.Counter(name for server in self.servers for name in server.ran)
+        ran = collections.Counter(name for server in self.servers for name in server.executed)
         plain = {
             name
             for server in self.servers
             if server.service == PLAIN_SERVICE
-            for name in server.ran
+            for name in server.executed
         }
         for name in plain:
             self.book.check(ran[name] == 1, f'TWICE {name}: {ran[name]}')
@@ -624,7 +624,7 @@
 def ending_of(request):
     """Return the content of a call that ends its server, or nothing."""
     if request.path == RUN_PATH:
-        keys = [order.key for order in decode_orders(request.body)]
+        keys = [order.key for order in decode_piece_requests(request.body)]
         return next((key for key in keys if key.startswith(ENDING)), '')
     body = request.body.decode('latin-1')
     return body if body.startswith(ENDING) else ''
--- a/bench/soakwords.py
+++ b/bench/soakwords.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from ringseam.platform.stages import FREE_PATH
+from ringseam.platform.stages import RELEASE_PATH
 
 #: Faults of a soak that let a server say something of itself.
 WORD_FAULTS = ('limit', 'rest', 'say-leaving')
@@ -66,9 +66,9 @@
         self.server.pause_s = 0
 
     async def leave(self, begun):
-        self.server.says_leaving = True
+        self.server.announces_leaving = True
         await asyncio.sleep(3 * DRAIN_S)
-        self.server.says_leaving = False
+        self.server.announces_leaving = False
 
     def check_limit(self, begun):
         allowed = 1.5 * WINDOW_S * self.per_s + 5
@@ -85,7 +85,7 @@
         self.check(len(later) <= allowed, f'BUDGET {len(later)} in a rest')
 
     def check_say_leaving(self, begun):
-        later = [path for at, path in self.arrived if at > begun + DRAIN_S and path != FREE_PATH]
+        later = [path for at, path in self.arrived if at > begun + DRAIN_S and path != RELEASE_PATH]
         # A gateway that had sent nothing until then is told by its first answers.
         allowed = self.soak.clients * len(self.soak.gateways)
         self.check(len(later) <= allowed, f'DRAIN {len(later)} after it said so')
--- a/ringseam/cmd/demogateway.py
+++ b/ringseam/cmd/demogateway.py
@@ -24,7 +24,7 @@
     PLAIN_SERVICE,
     STAGE_SERVICE,
     STAGED_PATH,
-    example_document,
+    example_manifest,
 )
 from ringseam.platform.registration import CONFIG_PATH, READY_PATH
 from ringseam.platform.requests import encode_request
@@ -38,10 +38,10 @@
     from ringseam.role import Role
 
 _OK = 200
-_REFUSED = 503
-_READY_TRIES = 100
-_PAUSE_S = 0.1
-_TIME_LEFT_S = 4.0
+_UNAVAILABLE = 503
+_READY_ATTEMPTS = 100
+_READY_POLL_S = 0.1
+_REQUEST_TIMEOUT_S = 4.0
 _SERVICES = (PLAIN_SERVICE, STAGE_SERVICE, ENGINE_SERVICE)
 
 
@@ -51,82 +51,86 @@
     def __init__(self, *, folder: Path) -> None:
         """Plan below ``folder``."""
         self.folder = folder
-        self.control = free_address()
-        self.clients = free_address()
-        self.ready = free_address()
+        self.control_address = free_address()
+        self.client_address = free_address()
+        self.ready_address = free_address()
         self.servers = [
             DirectServer(
                 instance=BackendId(f'{service}-1'),
                 service=ServiceName(service),
-                control=self.control,
+                control=self.control_address,
             )
             for service in _SERVICES
         ]
 
     async def run(self) -> bool:
-        """Show one request of each kind and a server that leaves; True when whole."""
+        """Show one request of each kind and a server that leaves; True on success."""
         async with contextlib.AsyncExitStack() as stack:
-            for role in self._roles():
+            for role in self._build_roles():
                 stack.push_async_callback(role.close)
                 await role.start()
             for server in self.servers:
                 await server.start(LOOPBACK)
                 stack.push_async_callback(server.http.close)
-            await self._await('PUT', f'http://{self.control}{CONFIG_PATH}', example_document())
+            await self._wait_until_ok(
+                'PUT', f'http://{self.control_address}{CONFIG_PATH}', example_manifest()
+            )
             for server in self.servers:
                 await server.report()
-            await self._await('GET', f'http://{self.ready}{READY_PATH}', b'')
-            return await self._show()
+            await self._wait_until_ok('GET', f'http://{self.ready_address}{READY_PATH}', b'')
+            return await self._run_scenario()
 
-    def _roles(self) -> list[Role]:
+    def _build_roles(self) -> list[Role]:
         layout = Layout(folder=self.folder)
         cluster = free_address()
         port = split_address(cluster)[1]
         ports = f'{port}, {port}'
-        shared = {'seeds': self.control, 'cluster_ports': ports}
+        common = {'seeds': self.control_address, 'cluster_ports': ports}
         host = layout.add(
             'control',
             'demo-control',
             address=cluster,
-            http=self.control,
+            http=self.control_address,
             data_dir=str(self.folder / 'demo-control'),
-            **shared,
+            **common,
         )
         gateway = layout.add(
             'gateway',
             'demo-gateway',
-            http=self.clients,
-            ready=self.ready,
-            **shared,
+            http=self.client_address,
+            ready=self.ready_address,
+            **common,
         )
-        kinds: list[type[Role]] = [ControlRole, GatewayRole]
+        role_classes: list[type[Role]] = [ControlRole, GatewayRole]
         return [
-            kind(
+            role_class(
                 settings=read_settings(
                     planned.role,
                     planned.settings.read_text(encoding='utf-8'),
                     path=str(planned.settings),
                 ),
             )
-            for kind, planned in zip(kinds, (host, gateway), strict=True)
+            for role_class, planned in zip(role_classes, (host, gateway), strict=True)
         ]
 
-    async def _show(self) -> bool:
-        signals = self.servers[0]
-        plain = await self._ask('signal-1', PLAIN_PATH)
+    async def _run_scenario(self) -> bool:
+        plain_server = self.servers[0]
+        plain = await self._send('signal-1', PLAIN_PATH)
         typer.echo(f'plain request: {plain.status}, {len(plain.data)} bytes')
-        stream = await self._ask('report-1', STAGED_PATH, pieces=(3,))
+        stream = await self._send('report-1', STAGED_PATH, pieces=(3,))
         events = stream.data.count(b'id: ')
         typer.echo(f'staged stream: {stream.status}, {events} events after 3 pieces')
-        left = await signals.report(BackendState.draining)
-        refused = await self._ask('signal-2', PLAIN_PATH)
+        acknowledged = await plain_server.report(BackendState.draining)
+        refused = await self._send('signal-2', PLAIN_PATH)
         pause = refused.headers.get('Retry-After', '')
-        typer.echo(f'server leaves: acknowledged {left}; then {refused.status}, again in {pause} s')
-        whole = plain.status == _OK and stream.status == _OK and bool(events)
-        untouched = refused.status == _REFUSED and signals.ran == ['signal-1']
-        return whole and left and untouched
+        typer.echo(
+            f'server leaves: acknowledged {acknowledged}; then {refused.status}, again in {pause} s'
+        )
+        succeeded = plain.status == _OK and stream.status == _OK and bool(events)
+        not_run = refused.status == _UNAVAILABLE and plain_server.executed == ['signal-1']
+        return succeeded and acknowledged and not_run
 
-    async def _ask(
+    async def _send(
         self,
         name: str,
         path: str,
@@ -136,7 +140,7 @@
             attempt_id=name,
             host=HOST,
             path=path,
-            time_left_s=_TIME_LEFT_S,
+            time_left_s=_REQUEST_TIMEOUT_S,
             key=KEY,
             pieces=pieces,
             piece_key=name,
@@ -144,7 +148,7 @@
         headers = dict(encode_request(request))
         if pieces:
             headers['Accept'] = 'text/event-stream'
-        url = f'http://{self.clients}{path}'
+        url = f'http://{self.client_address}{path}'
         return await asyncio.to_thread(
             urllib3.request,
             'POST',
@@ -154,9 +158,9 @@
             retries=False,
         )
 
-    async def _await(self, method: str, url: str, body: bytes) -> None:
+    async def _wait_until_ok(self, method: str, url: str, body: bytes) -> None:
         """Call until the answer is 200: replicas elect a leader first."""
-        for _ in range(_READY_TRIES):
+        for _ in range(_READY_ATTEMPTS):
             reply = await asyncio.to_thread(
                 urllib3.request,
                 method,
@@ -166,5 +170,5 @@
             )
             if reply.status == _OK:
                 return
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_READY_POLL_S)
         raise UnreachableError(f'{url} did not become ready')
--- a/ringseam/cmd/zones.py
+++ b/ringseam/cmd/zones.py
@@ -8,13 +8,13 @@
 import typer
 
 from ringseam.cmd.main import ExitCode, app
-from ringseam.cmd.operate import ControlOption, JsonOption, KeyOption, with_control
+from ringseam.cmd.operate import ControlOption, JsonOption, KeyOption, run_with_control
 from ringseam.controlclient import ControlClient
 from ringseam.followmessages import ORDER_ZONE, READ_ZONES, ZoneOrder
 from ringseam.messages import Empty
 from ringseam.zones import DrainedZones
 
-_ORDER_S = 10.0
+_ORDER_TIMEOUT_S = 10.0
 
 ZoneArgument = Annotated[str, typer.Argument(help='The availability zone.')]
 
@@ -23,10 +23,10 @@
 def zones(addresses: ControlOption, key_file: KeyOption, as_json: JsonOption = False) -> None:
     """Show the drained zones: ``ringseam zones --control ... --key-file cluster.key``."""
 
-    async def ask(control: ControlClient) -> Any:  # noqa: WPS430
-        return await control.call_leader(READ_ZONES, Empty(), timeout_s=_ORDER_S)
+    async def read_zones(control: ControlClient) -> Any:  # noqa: WPS430
+        return await control.call_leader(READ_ZONES, Empty(), timeout_s=_ORDER_TIMEOUT_S)
 
-    _show(with_control(addresses, key_file, ask), as_json=as_json)
+    _print_drained_zones(run_with_control(addresses, key_file, read_zones), as_json=as_json)
 
 
 @app.command('drain-zone')
@@ -37,7 +37,7 @@
     as_json: JsonOption = False,
 ) -> None:
     """Send nothing new to the backend servers of a zone: ``ringseam drain-zone hall-a ...``."""
-    _order(ZoneOrder(zone=zone, drained=True), addresses, key_file, as_json=as_json)
+    _send_order(ZoneOrder(zone=zone, drained=True), addresses, key_file, as_json=as_json)
 
 
 @app.command('restore-zone')
@@ -48,17 +48,17 @@
     as_json: JsonOption = False,
 ) -> None:
     """Use a drained zone again: ``ringseam restore-zone hall-a ...``."""
-    _order(ZoneOrder(zone=zone, drained=False), addresses, key_file, as_json=as_json)
+    _send_order(ZoneOrder(zone=zone, drained=False), addresses, key_file, as_json=as_json)
 
 
-def _order(order: ZoneOrder, addresses: str, key_file: KeyOption, *, as_json: bool) -> None:
+def _send_order(order: ZoneOrder, addresses: str, key_file: KeyOption, *, as_json: bool) -> None:
     async def send(control: ControlClient) -> Any:  # noqa: WPS430
-        return await control.call_leader(ORDER_ZONE, order, timeout_s=_ORDER_S)
+        return await control.call_leader(ORDER_ZONE, order, timeout_s=_ORDER_TIMEOUT_S)
 
-    _show(with_control(addresses, key_file, send), as_json=as_json)
+    _print_drained_zones(run_with_control(addresses, key_file, send), as_json=as_json)
 
 
-def _show(reply: Any, *, as_json: bool) -> None:
+def _print_drained_zones(reply: Any, *, as_json: bool) -> None:
     if not isinstance(reply, DrainedZones):
         typer.echo('not taken: the control group is not complete yet', err=True)
         raise typer.Exit(ExitCode.unreachable)
--- a/ringseam/control/openinterface.py
+++ b/ringseam/control/openinterface.py
@@ -25,12 +25,12 @@
 from ringseam.platform.manifest import decode_manifest
 from ringseam.platform.registration import (
     CONFIG_PATH,
-    decode_leave,
+    decode_departure,
     decode_report,
-    encode_accepted,
-    instance_of,
+    encode_report_reply,
+    instance_in_path,
 )
-from ringseam.platform.zones import decode_zone_order, is_zone_method, is_zone_path
+from ringseam.platform.zones import decode_zone_order, is_zone_order_method, is_zone_order_path
 from ringseam.util.jsonbody import json_body
 from ringseam.util.linebudget import LineBudget
 from ringseam.zones import DrainedZones
@@ -73,7 +73,7 @@
 _NOT_ALLOWED = 405
 _TOO_LARGE = 413
 _UNAVAILABLE = 503
-_DECODERS = types.MappingProxyType({'PUT': decode_report, 'DELETE': decode_leave})
+_DECODERS = types.MappingProxyType({'PUT': decode_report, 'DELETE': decode_departure})
 
 
 class OpenInterface:
@@ -121,12 +121,12 @@
 
     async def _handle(self, exchange: Exchange) -> None:
         request = exchange.request
-        name = instance_of(request.path)
+        name = instance_in_path(request.path)
         if name:
             await self._handle_report(exchange, name)
         elif request.path == CONFIG_PATH:
             await self._handle_document(exchange)
-        elif is_zone_path(request.path):
+        elif is_zone_order_path(request.path):
             await self._handle_zone(exchange)
         else:
             await exchange.respond(_NOT_FOUND, [])
@@ -148,7 +148,7 @@
             REPORT_BACKEND, report, self.follow_service.accept_report, timeout_s
         )
         if isinstance(reply, ReportAccepted):
-            await exchange.respond(_OK, [_JSON], encode_accepted(reply.report_to))
+            await exchange.respond(_OK, [_JSON], encode_report_reply(reply.report_to))
         elif isinstance(reply, ReportRejected):
             await self._refuse_report(exchange, name, 'its server tells when it started')
         else:
@@ -232,7 +232,7 @@
     async def _parse_order(self, exchange: Exchange) -> ZoneOrder | None:
         """Return the order of a request; None if it was refused and answered."""
         request = exchange.request
-        if not is_zone_method(request.method):
+        if not is_zone_order_method(request.method):
             await exchange.respond(_NOT_ALLOWED, [])
             return None
         try:
@@ -292,9 +292,9 @@
 
 
 def _call_target(path: str) -> str:
-    if instance_of(path):
+    if instance_in_path(path):
         return 'backend'
-    return 'zone' if is_zone_path(path) else 'document'
+    return 'zone' if is_zone_order_path(path) else 'document'
 
 
 def _check_report_size(body: bytes) -> bytes:
--- a/ringseam/gateway/requests/answers.py
+++ b/ringseam/gateway/requests/answers.py
@@ -7,7 +7,7 @@
 
 from ringseam.clock import MS_PER_S
 from ringseam.events import Event
-from ringseam.platform.requests import attempt_header, claimed_headers, retry_after
+from ringseam.platform.requests import attempt_id_header, find_reserved_headers, retry_after_header
 
 if TYPE_CHECKING:
     from ringseam.calls import ClientRequest
@@ -39,7 +39,7 @@
 
     def count_forged_headers(self, headers: Headers) -> None:
         """Count client headers that are reserved for the system."""
-        for name in claimed_headers(headers):
+        for name in find_reserved_headers(headers):
             self.metrics.add('headers_dropped', header=name.lower())
 
     async def reject(self, exchange: Exchange, request: ClientRequest, status: int) -> None:
@@ -87,7 +87,7 @@
         )
         self.metrics.add('requests', status=str(UNAVAILABLE), route='')
         await exchange.respond(
-            UNAVAILABLE, [*_attempt_headers(request), retry_after(retry_after_s)]
+            UNAVAILABLE, [*_attempt_headers(request), retry_after_header(retry_after_s)]
         )
 
     async def fail(self, context: RequestContext, status: int, detail: str) -> None:
@@ -149,4 +149,4 @@
 
 
 def _attempt_headers(request: ClientRequest) -> Headers:
-    return [attempt_header(request.attempt_id)] if request.attempt_id else []
+    return [attempt_id_header(request.attempt_id)] if request.attempt_id else []
--- a/ringseam/gateway/requests/relay.py
+++ b/ringseam/gateway/requests/relay.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ringseam.platform.requests import WITHHELD_FROM_CLIENTS
+from ringseam.platform.requests import INTERNAL_RESPONSE_HEADERS
 from ringseam.web.bodies import EventSplitter, end_to_end
 from ringseam.web.client import ChannelError
 
@@ -48,7 +48,7 @@
     return [
         (name, text)
         for name, text in end_to_end(head.headers)
-        if name.lower() not in WITHHELD_FROM_CLIENTS
+        if name.lower() not in INTERNAL_RESPONSE_HEADERS
     ]
 
 
--- a/ringseam/gateway/requests/sending.py
+++ b/ringseam/gateway/requests/sending.py
@@ -10,7 +10,7 @@
 from ringseam.gateway.engines.silence import PendingResponse
 from ringseam.gateway.priorities import engine_urgency
 from ringseam.gateway.requestcontext import Answered, LossCause, Lost, NotRun
-from ringseam.platform.requests import decode_marks, encode_call
+from ringseam.platform.requests import decode_response_metadata, encode_call_headers
 from ringseam.web.bodies import end_to_end
 from ringseam.web.client import ChannelError
 
@@ -89,7 +89,7 @@
         last_event: int | None,
     ) -> TryOutcome:
         request = context.exchange.request
-        headers = encode_call(
+        headers = encode_call_headers(
             end_to_end(request.headers),
             CallHeaders(
                 instance=server.instance,
@@ -131,7 +131,7 @@
     ) -> TryOutcome:
         for _ in range(_MAX_STRAY_RESPONSES + 1):
             head = await channel.head()
-            marks = decode_marks(head)
+            marks = decode_response_metadata(head)
             if marks.attempt_id in {'', context.request.attempt_id}:
                 break
             # A response to an earlier request on this connection.
--- a/ringseam/gateway/stages/calls.py
+++ b/ringseam/gateway/stages/calls.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from ringseam.platform.requests import decode_marks, stage_headers
+from ringseam.platform.requests import decode_response_metadata, stage_call_headers
 from ringseam.platform.stages import (
-    FREE_PATH,
+    RELEASE_PATH,
     RUN_PATH,
-    PieceOrder,
+    PieceRequest,
     PieceResult,
     decode_results,
-    encode_orders,
+    encode_piece_requests,
     encode_release,
 )
 from ringseam.web.client import ChannelError
@@ -53,7 +53,7 @@
         """
         now = self.clock.now()
         orders = [
-            PieceOrder(
+            PieceRequest(
                 attempt_id=piece.job.attempt_id,
                 stage=piece.job.stage,
                 piece=piece.number,
@@ -64,7 +64,9 @@
             for piece in call.pieces
         ]
         server = call.server
-        body = await self._post(server.address, server.instance, RUN_PATH, encode_orders(orders))
+        body = await self._post(
+            server.address, server.instance, RUN_PATH, encode_piece_requests(orders)
+        )
         return decode_results(body, len(orders))
 
     async def release(self, address: str, instance: BackendId, handles: list[str]) -> None:
@@ -72,19 +74,19 @@
 
         :raises ChannelError: when the call failed.
         """
-        await self._post(address, instance, FREE_PATH, encode_release(handles))
+        await self._post(address, instance, RELEASE_PATH, encode_release(handles))
 
     async def _post(self, address: str, instance: BackendId, path: str, body: bytes) -> bytes:
         channel = await self.pool.acquire(address, timeout_s=_CONNECT_S)
         try:
-            await channel.send('POST', path, stage_headers(instance), body)
+            await channel.send('POST', path, stage_call_headers(instance), body)
             head = await channel.head()
             answer = await channel.whole_body()
         except BaseException:
             channel.close()
             raise
         self.pool.release(channel)
-        marks = decode_marks(head)
+        marks = decode_response_metadata(head)
         self.words.record(instance, marks)
         if head.status != _OK:
             detail = f'{address}: status {head.status}'
--- a/ringseam/gateway/stages/graph.py
+++ b/ringseam/gateway/stages/graph.py
@@ -10,7 +10,7 @@
 
 from ringseam.gateway.stages.jobs import PieceJob
 from ringseam.gateway.stages.plan import FIRST_EVENT_S, StagePlan
-from ringseam.platform.stages import PieceFault, maker_of
+from ringseam.platform.stages import PieceFault, server_address_of
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -91,7 +91,7 @@
             if fault is None:
                 return None
             self.release()
-            if fault is not PieceFault.gone or not self._is_in_time():
+            if fault is not PieceFault.input_lost or not self._is_in_time():
                 break
         return StageFault(fault=fault)
 
@@ -127,7 +127,7 @@
         for number, handles in self.handles.items():
             size = self.stages[number].result_bytes
             for handle in handles:
-                counts[self.zone_by_address.get(maker_of(handle), '')] += size
+                counts[self.zone_by_address.get(server_address_of(handle), '')] += size
         return dict(counts)
 
     def release(self) -> None:
@@ -170,7 +170,7 @@
         inputs = tuple(handle for used in stage.after for handle in self.handles.get(used, ()))
         if len(inputs) < sum(map(self.plan.piece_count, stage.after)):
             # The inputs were released meanwhile, because this run is being cancelled.
-            return PieceFault.gone
+            return PieceFault.input_lost
         piece_results = await self.pieces.run(self._job(number, stage, count, inputs))
         self.handles[number] = tuple(result.handle for result in piece_results if result.handle)
         fault = _first_fault(piece_results)
@@ -242,7 +242,7 @@
     def _majority_zone(self, inputs: tuple[str, ...]) -> str:
         """Return the zone of most inputs."""
         counts = collections.Counter(
-            self.zone_by_address.get(maker_of(handle), '') for handle in inputs
+            self.zone_by_address.get(server_address_of(handle), '') for handle in inputs
         )
         counts.pop('', None)
         return counts.most_common(1)[0][0] if counts else ''
--- a/ringseam/gateway/stages/scheduler.py
+++ b/ringseam/gateway/stages/scheduler.py
@@ -22,7 +22,7 @@
     JobResults,
     ServiceState,
 )
-from ringseam.platform.stages import PieceFault, PieceResult, maker_of
+from ringseam.platform.stages import PieceFault, PieceResult, server_address_of
 from ringseam.retries import Retry
 from ringseam.routes import ServiceName
 from ringseam.util.tasks import TaskSet
@@ -132,7 +132,7 @@
         """Release results at the servers that store them, in batches."""
         state = self._state(service)
         for handle in handles:
-            address = maker_of(handle)
+            address = server_address_of(handle)
             if address not in state.pending_releases:
                 state.pending_releases[address] = []
                 self.tasks.spawn(self._release_batched(state, address))
@@ -336,7 +336,7 @@
                 state.add_result(result.handle, call.server.instance, piece.job.result_bytes)
                 loop.call_later(spec.result_retention_s, state.remove_result, result.handle)
                 self._resolve(state, piece, result)
-            elif result.fault is PieceFault.room:
+            elif result.fault is PieceFault.no_capacity:
                 without_capacity.append(piece)
             elif result.fault is PieceFault.error:
                 failed.append(piece)
--- a/ringseam/model/clients.py
+++ b/ringseam/model/clients.py
@@ -15,7 +15,7 @@
 from ringseam.platform.requests import (
     decode_request,
     encode_request,
-    retry_after,
+    retry_after_header,
 )
 from ringseam.web.bodies import find_header
 from ringseam.web.server import Request
@@ -33,7 +33,7 @@
 _LEAVE_OBJECTIVES = 4.0
 _LEAVE_PAUSES = 8.0
 _OK = 200
-_RETRY_AFTER = retry_after(0)[0]
+_RETRY_AFTER = retry_after_header(0)[0]
 #: The requests of a clump come within this time.
 _CLUMP_S = 0.3
 
--- a/ringseam/model/stageservers.py
+++ b/ringseam/model/stageservers.py
@@ -10,7 +10,7 @@
 
 from ringseam.gateway.stages.calls import FullError
 from ringseam.model.saying import Saying
-from ringseam.platform.stages import PieceFault, PieceResult, maker_of
+from ringseam.platform.stages import PieceFault, PieceResult, server_address_of
 from ringseam.web.client import ChannelError
 
 if TYPE_CHECKING:
@@ -144,9 +144,9 @@
         if piece.job.deadline < now:
             return PieceFault.late
         if not await self.others.fetch(piece.job.inputs, self.report.zone):
-            return PieceFault.gone
+            return PieceFault.input_lost
         if self.room + piece.job.result_bytes > self.load.room_mb * _MEGABYTE:
-            return PieceFault.room
+            return PieceFault.no_capacity
         self.room += piece.job.result_bytes
         return None
 
@@ -189,7 +189,7 @@
         way_s = way_between(server.report.zone, self.zone, self.zone_s)
         await asyncio.sleep(way_s)
         for handle in handles:
-            if maker_of(handle) == maker:
+            if server_address_of(handle) == maker:
                 server.free(handle)
         await asyncio.sleep(way_s)
 
--- a/ringseam/platform/example.py
+++ b/ringseam/platform/example.py
@@ -14,7 +14,7 @@
 ENGINE_SERVICE = 'writers'
 
 
-def example_document() -> bytes:
+def example_manifest() -> bytes:
     """Return a document with both routes, their services and one client account."""
     return msgspec.json.encode(
         {
--- a/ringseam/platform/manifest.py
+++ b/ringseam/platform/manifest.py
@@ -24,21 +24,21 @@
 )
 from ringseam.routevalidation import validated
 
-_MS = 1000
-_MEGABYTE = 1_000_000
-_Count = Annotated[int, msgspec.Meta(ge=0)]
-_Amount = Annotated[float, msgspec.Meta(ge=0)]
+_MS_PER_S = 1000
+_BYTES_PER_MB = 1_000_000
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
+_NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class _Stage(msgspec.Struct):
     service: str
     after: tuple[int, ...] = ()
-    bytes: _Amount = 0  # size of one result
+    bytes: _NonNegativeFloat = 0  # size of one result
 
 
 class _Share(msgspec.Struct):
     service: str
-    weight: _Amount
+    weight: _NonNegativeFloat
 
 
 class _Route(msgspec.Struct):
@@ -46,8 +46,8 @@
     host: str
     path_prefix: str
     kind: RequestKind
-    timeout_ms: _Amount
-    slo_ms: _Amount = 0  # the latency objective
+    timeout_ms: _NonNegativeFloat
+    slo_ms: _NonNegativeFloat = 0  # the latency objective
     priority: int = 0
     service: str = ''
     split: tuple[_Share, ...] = ()
@@ -56,7 +56,7 @@
     public: bool = False
     sticky: bool = False  # requests share prompt prefixes
     resumable: bool = False
-    gap_aim_ms: _Amount = 0
+    gap_aim_ms: _NonNegativeFloat = 0
     allowed_regions: Optional[tuple[str, ...]] = None
 
 
@@ -69,10 +69,10 @@
     slots: int = 1
     queue: int = 0
     batch: int = 1
-    call_ms: _Amount = 0
-    item_ms: _Amount = 0
-    room_mb: _Amount = 0
-    handle_s: _Amount = 0
+    call_ms: _NonNegativeFloat = 0
+    item_ms: _NonNegativeFloat = 0
+    room_mb: _NonNegativeFloat = 0
+    handle_s: _NonNegativeFloat = 0
 
 
 class _Service(msgspec.Struct):
@@ -81,15 +81,15 @@
     max_conns: int = 1
     engine: Optional[_Engine] = None
     pieces: Optional[_Pieces] = None
-    cold_s: _Amount = 0  # how long a server is cold after its start
-    cold_per_s: _Amount = 0  # requests a second that it bears meanwhile
+    cold_s: _NonNegativeFloat = 0  # how long a server is cold after its start
+    cold_per_s: _NonNegativeFloat = 0  # requests a second that it bears meanwhile
 
 
 class _Limits(msgspec.Struct):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
-    header_timeout_ms: _Amount = 3000
-    idle_timeout_ms: _Amount = 15_000
+    header_timeout_ms: _NonNegativeFloat = 3000
+    idle_timeout_ms: _NonNegativeFloat = 15_000
 
 
 class _Tenant(msgspec.Struct):
@@ -100,7 +100,7 @@
 
 
 class _Manifest(msgspec.Struct):
-    version: _Count
+    version: _NonNegativeInt
     routes: tuple[_Route, ...]
     services: tuple[_Service, ...]
     limits: _Limits = msgspec.field(default_factory=_Limits)
@@ -128,8 +128,8 @@
         limits=ClientLimits(
             header_bytes=manifest.limits.max_header_bytes,
             body_bytes=manifest.limits.max_body_bytes,
-            header_timeout_s=manifest.limits.header_timeout_ms / _MS,
-            idle_timeout_s=manifest.limits.idle_timeout_ms / _MS,
+            header_timeout_s=manifest.limits.header_timeout_ms / _MS_PER_S,
+            idle_timeout_s=manifest.limits.idle_timeout_ms / _MS_PER_S,
         ),
     )
     return validated(table, path='manifest')
@@ -142,8 +142,8 @@
         host=route.host.lower(),
         prefix=route.path_prefix,
         kind=route.kind,
-        timeout_s=route.timeout_ms / _MS,
-        objective_s=route.slo_ms / _MS,
+        timeout_s=route.timeout_ms / _MS_PER_S,
+        objective_s=route.slo_ms / _MS_PER_S,
         targets=tuple(
             Target(service=ServiceName(share.service), weight=share.weight) for share in shares
         ),
@@ -160,7 +160,7 @@
         public=route.public,
         affinity=route.sticky,
         resumable=route.resumable,
-        gap_objective_s=route.gap_aim_ms / _MS,
+        gap_objective_s=route.gap_aim_ms / _MS_PER_S,
         regions=frozenset(route.allowed_regions or ()),
     )
 
@@ -173,25 +173,25 @@
         health_path=service.health_path,
         max_connections=service.max_conns,
         engine=EngineSpec(slots=engine.slots, cache_tokens=engine.kv_tokens) if engine else None,
-        batching=_batching(pieces) if pieces else None,
-        cold=_cold(service),
+        batching=_batch_spec(pieces) if pieces else None,
+        cold=_cold_spec(service),
     )
 
 
-def _cold(service: _Service) -> ColdSpec | None:
+def _cold_spec(service: _Service) -> ColdSpec | None:
     if service.cold_s <= 0 or service.cold_per_s <= 0:
         return None
     return ColdSpec(duration_s=service.cold_s, requests_per_s=service.cold_per_s)
 
 
-def _batching(pieces: _Pieces) -> BatchSpec:
+def _batch_spec(pieces: _Pieces) -> BatchSpec:
     return BatchSpec(
         slots=max(1, pieces.slots),
         queue=pieces.queue,
         batch=max(1, pieces.batch),
-        call_s=pieces.call_ms / _MS,
-        piece_s=pieces.item_ms / _MS,
-        result_capacity_bytes=int(pieces.room_mb * _MEGABYTE),
+        call_s=pieces.call_ms / _MS_PER_S,
+        piece_s=pieces.item_ms / _MS_PER_S,
+        result_capacity_bytes=int(pieces.room_mb * _BYTES_PER_MB),
         result_retention_s=pieces.handle_s,
     )
 
--- a/ringseam/platform/stages.py
+++ b/ringseam/platform/stages.py
@@ -11,20 +11,20 @@
 from ringseam.clock import MS_PER_S
 
 RUN_PATH = '/api/stage-run'
-FREE_PATH = '/api/stage-free'
+RELEASE_PATH = '/api/stage-free'
 
 
 class PieceFault(enum.Enum):
     """Why a piece has no result."""
 
     late = 'late'
-    gone = 'gone'
-    room = 'room'
+    input_lost = 'gone'
+    no_capacity = 'room'
     error = 'error'
 
 
 @dataclass(frozen=True, kw_only=True)
-class PieceOrder:
+class PieceRequest:
     """One piece to work on; ``inputs`` are handles, ``key`` marks own input."""
 
     attempt_id: str
@@ -43,7 +43,7 @@
     fault: PieceFault | None = None
 
 
-class _Order(msgspec.Struct, omit_defaults=True):
+class _PieceRequest(msgspec.Struct, omit_defaults=True):
     id: str  # the client's Attempt-Id
     stage: int
     piece: int
@@ -52,41 +52,41 @@
     inputs: tuple[str, ...] = ()
 
 
-class _Orders(msgspec.Struct):
-    orders: list[_Order] = msgspec.field(name='items')
+class _PieceRequests(msgspec.Struct):
+    requests: list[_PieceRequest] = msgspec.field(name='items')
 
 
-class _Outcome(msgspec.Struct):
+class _PieceResult(msgspec.Struct):
     handle: str = ''
     why: Optional[PieceFault] = None
 
 
-class _Outcomes(msgspec.Struct):
-    outcomes: list[_Outcome] = msgspec.field(name='items')
+class _PieceResults(msgspec.Struct):
+    piece_results: list[_PieceResult] = msgspec.field(name='items')
 
 
 class _Handles(msgspec.Struct):
     handles: list[str]
 
 
-_DECODER = msgspec.json.Decoder(_Outcomes)
-_ORDERS = msgspec.json.Decoder(_Orders)
+_RESULTS_DECODER = msgspec.json.Decoder(_PieceResults)
+_REQUESTS_DECODER = msgspec.json.Decoder(_PieceRequests)
 
 
-def encode_orders(orders: list[PieceOrder]) -> bytes:
+def encode_piece_requests(requests: list[PieceRequest]) -> bytes:
     """Return the body of a call for pieces."""
     return msgspec.json.encode(
-        _Orders(
-            orders=[
-                _Order(
-                    id=order.attempt_id,
-                    stage=order.stage,
-                    piece=order.piece,
-                    left_ms=max(1, int(order.time_left_s * MS_PER_S)),
-                    key=order.key,
-                    inputs=order.inputs,
+        _PieceRequests(
+            requests=[
+                _PieceRequest(
+                    id=request.attempt_id,
+                    stage=request.stage,
+                    piece=request.piece,
+                    left_ms=max(1, int(request.time_left_s * MS_PER_S)),
+                    key=request.key,
+                    inputs=request.inputs,
                 )
-                for order in orders
+                for request in requests
             ],
         ),
     )
@@ -97,50 +97,52 @@
 
     :raises msgspec.MsgspecError: when they can't be read or are not as many.
     """
-    outcomes = _DECODER.decode(body).outcomes
-    if len(outcomes) != expected:
-        raise msgspec.ValidationError(f'{len(outcomes)} results for {expected} pieces')
+    piece_results = _RESULTS_DECODER.decode(body).piece_results
+    if len(piece_results) != expected:
+        raise msgspec.ValidationError(f'{len(piece_results)} results for {expected} pieces')
     return [
         PieceResult(
-            handle=outcome.handle,
-            fault=None if outcome.handle else outcome.why or PieceFault.error,
+            handle=result.handle,
+            fault=None if result.handle else result.why or PieceFault.error,
         )
-        for outcome in outcomes
+        for result in piece_results
     ]
 
 
-def decode_orders(body: bytes) -> list[PieceOrder]:
+def decode_piece_requests(body: bytes) -> list[PieceRequest]:
     """Return what a call for pieces asks for, as a backend server sees it.
 
     :raises msgspec.MsgspecError: when it can't be read.
     """
     return [
-        PieceOrder(
-            attempt_id=order.id,
-            stage=order.stage,
-            piece=order.piece,
-            time_left_s=order.left_ms / MS_PER_S,
-            key=order.key,
-            inputs=order.inputs,
+        PieceRequest(
+            attempt_id=request.id,
+            stage=request.stage,
+            piece=request.piece,
+            time_left_s=request.left_ms / MS_PER_S,
+            key=request.key,
+            inputs=request.inputs,
         )
-        for order in _ORDERS.decode(body).orders
+        for request in _REQUESTS_DECODER.decode(body).requests
     ]
 
 
-def encode_results(made: list[PieceResult]) -> bytes:
+def encode_results(piece_results: list[PieceResult]) -> bytes:
     """Return the answer of a backend server to a call for pieces."""
     return msgspec.json.encode(
-        _Outcomes(
-            outcomes=[_Outcome(handle=result.handle, why=result.fault) for result in made],
+        _PieceResults(
+            piece_results=[
+                _PieceResult(handle=result.handle, why=result.fault) for result in piece_results
+            ],
         ),
     )
 
 
 def encode_release(handles: list[str]) -> bytes:
-    """Return the body of a call that gives results up."""
+    """Return the body of a call that releases results."""
     return msgspec.json.encode(_Handles(handles=handles))
 
 
-def maker_of(handle: str) -> str:
+def server_address_of(handle: str) -> str:
     """Return the address of the backend server that keeps a result."""
     return handle.partition('/')[0]
--- a/ringseam/standin/direct.py
+++ b/ringseam/standin/direct.py
@@ -12,18 +12,18 @@
 from ringseam.backends import BackendId, BackendReport, BackendState
 from ringseam.platform.registration import encode_report, report_path
 from ringseam.platform.requests import (
-    answer_marks,
     decode_request,
+    identity_headers,
     leaving_header,
-    limit_header,
     not_run_header,
-    retry_after,
+    rate_limit_header,
+    retry_after_header,
 )
 from ringseam.platform.stages import (
-    FREE_PATH,
+    RELEASE_PATH,
     RUN_PATH,
     PieceResult,
-    decode_orders,
+    decode_piece_requests,
     encode_results,
 )
 from ringseam.web.server import HttpLimits, HttpServer
@@ -35,13 +35,13 @@
 
 logger = logging.getLogger(__name__)
 
-_OK = 200
+_HTTP_OK = 200
 _BAD_REQUEST = 400
 _UNAVAILABLE = 503
-_REPORT_S = 3.0
-_PIECE_S = 0.005
-_EVENT_S = 0.01
-_EVENTS = 5
+_REPORT_TIMEOUT_S = 3.0
+_PIECE_DURATION_S = 0.005
+_EVENT_INTERVAL_S = 0.01
+_STREAM_EVENTS = 5
 
 
 class DirectServer:
@@ -64,11 +64,11 @@
         self.sequence = 0
         #: What its answers say of itself: requests a second that it takes; that it leaves.
         self.limit_per_s: float | None = None
-        self.says_leaving = False
+        self.announces_leaving = False
         #: While it is positive, all that comes is turned away with this pause, seconds.
         self.pause_s: float = 0
         #: Identities of the requests and pieces that ran here, in order.
-        self.ran: list[str] = []
+        self.executed: list[str] = []
         self.http = HttpServer(handler=self.serve, limits=HttpLimits())
         self.connections = urllib3.PoolManager(retries=False)
 
@@ -94,57 +94,59 @@
             'PUT',
             f'http://{self.control}{report_path(self.instance)}',
             body=encode_report(report),
-            timeout=_REPORT_S,
+            timeout=_REPORT_TIMEOUT_S,
         )
-        return reply.status == _OK
+        return reply.status == _HTTP_OK
 
     async def serve(self, exchange: Exchange) -> None:
         """Answer one call of a gateway."""
         path = exchange.request.path
         if self.pause_s:
-            await exchange.respond(_UNAVAILABLE, [not_run_header(), retry_after(self.pause_s)])
+            await exchange.respond(
+                _UNAVAILABLE, [not_run_header(), retry_after_header(self.pause_s)]
+            )
         elif path == RUN_PATH:
-            await self._make_pieces(exchange)
-        elif path == FREE_PATH:
-            await exchange.respond(_OK, self._words(), b'{}')
+            await self._run_pieces(exchange)
+        elif path == RELEASE_PATH:
+            await exchange.respond(_HTTP_OK, self._notice_headers(), b'{}')
         elif exchange.request.header('Accept') == 'text/event-stream':
             await self._stream(exchange)
         else:
-            await self._answer(exchange)
+            await self._respond(exchange)
 
-    def _words(self) -> Headers:
+    def _notice_headers(self) -> Headers:
         """Return what each answer says of this server."""
-        words = [leaving_header()] if self.says_leaving else []
+        headers = [leaving_header()] if self.announces_leaving else []
         if self.limit_per_s is not None:
-            words.append(limit_header(self.limit_per_s))
-        return words
+            headers.append(rate_limit_header(self.limit_per_s))
+        return headers
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _respond(self, exchange: Exchange) -> None:
         request = decode_request(exchange.request)
-        self.ran.append(request.attempt_id)
+        self.executed.append(request.attempt_id)
         body = f'{self.instance} answers {request.attempt_id}\n'
-        marks = [*answer_marks(request.attempt_id), *self._words()]
-        await exchange.respond(_OK, marks, body.encode())
+        headers = [*identity_headers(request.attempt_id), *self._notice_headers()]
+        await exchange.respond(_HTTP_OK, headers, body.encode())
 
     async def _stream(self, exchange: Exchange) -> None:
         request = decode_request(exchange.request)
-        self.ran.append(request.attempt_id)
-        marks = [*answer_marks(request.attempt_id), *self._words()]
-        exchange.start(_OK, [*marks, ('Content-Type', 'text/event-stream')])
-        for number in range((request.last_event or 0) + 1, _EVENTS + 1):
-            await asyncio.sleep(_EVENT_S)
+        self.executed.append(request.attempt_id)
+        headers = [*identity_headers(request.attempt_id), *self._notice_headers()]
+        exchange.start(_HTTP_OK, [*headers, ('Content-Type', 'text/event-stream')])
+        for number in range((request.last_event or 0) + 1, _STREAM_EVENTS + 1):
+            await asyncio.sleep(_EVENT_INTERVAL_S)
             await exchange.send(f'id: {number}\ndata: token {number}\n\n'.encode())
         await exchange.finish()
 
-    async def _make_pieces(self, exchange: Exchange) -> None:
+    async def _run_pieces(self, exchange: Exchange) -> None:
         try:
-            orders = decode_orders(exchange.request.body)
+            requests = decode_piece_requests(exchange.request.body)
         except msgspec.MsgspecError as error:
             logger.warning('call for pieces: %s', error)
             await exchange.respond(_BAD_REQUEST, [])
             return
-        await asyncio.sleep(_PIECE_S * len(orders))
-        names = [f'{order.attempt_id}-{order.stage}-{order.piece}' for order in orders]
-        self.ran.extend(names)
-        made = [PieceResult(handle=f'{self.address}/{name}') for name in names]
-        await exchange.respond(_OK, self._words(), encode_results(made))
+        await asyncio.sleep(_PIECE_DURATION_S * len(requests))
+        names = [f'{request.attempt_id}-{request.stage}-{request.piece}' for request in requests]
+        self.executed.extend(names)
+        piece_results = [PieceResult(handle=f'{self.address}/{name}') for name in names]
+        await exchange.respond(_HTTP_OK, self._notice_headers(), encode_results(piece_results))
--- a/tests/test_gateway/test_following/test_following_guard.py
+++ b/tests/test_gateway/test_following/test_following_guard.py
@@ -11,7 +11,7 @@
 from ringseam.lifetimes import BackendId
 from ringseam.model.virtualtime import run_virtual
 from ringseam.node import Node
-from ringseam.platform.stages import PieceResult, decode_orders, encode_results
+from ringseam.platform.stages import PieceResult, decode_piece_requests, encode_results
 from ringseam.quarantine import REPORT_SETTLE_S, TrialState
 from ringseam.quarantinemessages import (
     CrashReport,
@@ -77,7 +77,7 @@
 
 async def process_pieces_slowly(request, writer):
     """Process pieces, one call at a time."""
-    orders = decode_orders(request.body)
+    orders = decode_piece_requests(request.body)
     await asyncio.sleep(0.3)
     made = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
     writer.write(http_response(request, encode_results(made), attempt_id=''))
--- a/tests/test_gateway/test_following/test_following_zones.py
+++ b/tests/test_gateway/test_following/test_following_zones.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ringseam.backends import BackendId, GatewayState
-from ringseam.platform.stages import PieceResult, decode_orders, encode_results
+from ringseam.platform.stages import PieceResult, decode_piece_requests, encode_results
 from ringseam.routes import ColdSpec, ServiceName
 from ringseam.zones import DrainedZones
 from tests.gateways import (
@@ -27,7 +27,7 @@
 
 
 async def process_pieces(request, writer):
-    orders = decode_orders(request.body)
+    orders = decode_piece_requests(request.body)
     made = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
     writer.write(http_response(request, encode_results(made), attempt_id=''))
 
--- a/tests/test_gateway/test_requests/test_requests_regions.py
+++ b/tests/test_gateway/test_requests/test_requests_regions.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ringseam.platform.stages import PieceResult, decode_orders, encode_results
+from ringseam.platform.stages import PieceResult, decode_piece_requests, encode_results
 from tests.gateways import LocalGateway, ScriptedServer, http_response
 
 
@@ -13,7 +13,7 @@
 
 
 async def run_pieces(request, writer):
-    orders = decode_orders(request.body)
+    orders = decode_piece_requests(request.body)
     results = [PieceResult(handle=f'a/{order.attempt_id}-{order.piece}') for order in orders]
     writer.write(http_response(request, encode_results(results), attempt_id=''))
 
--- a/tests/test_gateway/test_stages/test_stages_graph.py
+++ b/tests/test_gateway/test_stages/test_stages_graph.py
@@ -219,10 +219,10 @@
 
 def test_stages_are_not_run_again_without_enough_time():
     pieces = FakePieceClient(fault_at=0)
-    pieces.fault = PieceFault.gone
+    pieces.fault = PieceFault.input_lost
     run = run_of([stage()], [1], pieces)
     run.clock.advance(run.work.deadline - 0.2)
-    assert asyncio.run(run.run()).fault is PieceFault.gone
+    assert asyncio.run(run.run()).fault is PieceFault.input_lost
     assert len(pieces.started) == 1
 
 
--- a/tests/test_model/test_model_servers.py
+++ b/tests/test_model/test_model_servers.py
@@ -83,7 +83,7 @@
         return faults(first), faults(second)
 
     first, second = run_virtual(main)
-    assert first == [None, None, PieceFault.room]
+    assert first == [None, None, PieceFault.no_capacity]
     assert second == [None]
 
 
@@ -94,7 +94,7 @@
         await asyncio.sleep(LOAD.keep_s + 0.1)
         return faults(await only.run(call(pieces=1, inputs=(first[0].handle,))))
 
-    assert run_virtual(main) == [PieceFault.gone]
+    assert run_virtual(main) == [PieceFault.input_lost]
 
 
 def test_piece_whose_time_is_over_at_its_turn_is_not_made():
--- a/tests/test_platform/test_platform_requests.py
+++ b/tests/test_platform/test_platform_requests.py
@@ -11,21 +11,21 @@
 
 from ringseam.backends import BackendReport, BackendState
 from ringseam.calls import CallHeaders
-from ringseam.platform.registration import decode_leave, decode_report, instance_of
+from ringseam.platform.registration import decode_departure, decode_report, instance_in_path
 from ringseam.platform.requests import (
-    SYSTEM_ONLY,
-    claimed_headers,
-    decode_marks,
+    RESERVED_HEADERS,
     decode_request,
-    encode_call,
-    stage_headers,
+    decode_response_metadata,
+    encode_call_headers,
+    find_reserved_headers,
+    stage_call_headers,
 )
 from ringseam.platform.stages import (
     PieceFault,
-    PieceOrder,
+    PieceRequest,
     decode_results,
-    encode_orders,
-    maker_of,
+    encode_piece_requests,
+    server_address_of,
 )
 from ringseam.web.bodies import end_to_end, find_header
 from ringseam.web.client import ResponseHead
@@ -72,7 +72,7 @@
     call = CallHeaders(
         instance='i-1', time_left_s=0.75, account='t', inputs=('h1', 'h2'), last_event=20
     )
-    sent = encode_call(HEADERS, call)
+    sent = encode_call_headers(HEADERS, call)
     names = [name for name, _ in sent]
     assert find_header(sent, 'Deadline-Ms') == '750'
     assert find_header(sent, 'Expect-Instance') == 'i-1'
@@ -91,25 +91,25 @@
 
 
 def test_all_claims_are_the_systems_alone():
-    assert {name.lower() for name in CLAIMS + COPY_CLAIMS} == SYSTEM_ONLY
+    assert {name.lower() for name in CLAIMS + COPY_CLAIMS} == RESERVED_HEADERS
 
 
-@pytest.mark.parametrize('name', sorted(SYSTEM_ONLY))
+@pytest.mark.parametrize('name', sorted(RESERVED_HEADERS))
 @pytest.mark.parametrize('spell', [str.lower, str.upper, str.title])
 @pytest.mark.parametrize('times', [1, 2, 200])
 def test_what_only_the_system_sets_is_dropped_from_clients_headers(name, spell, times):
     claims = [(spell(name), 'forged')] * times
-    sent = encode_call(
+    sent = encode_call_headers(
         end_to_end([*HEADERS, *claims]),
         CallHeaders(instance='i-1', time_left_s=1, account='t', urgency=2, inputs=('h1',)),
     )
     assert 'forged' not in [text for _, text in sent]
-    assert len(claimed_headers([*HEADERS, *claims])) == times + 2
+    assert len(find_reserved_headers([*HEADERS, *claims])) == times + 2
 
 
 @pytest.mark.parametrize('name', ['Tenant', 'Expect-Instance', 'Inputs', 'Deadline-Ms'])
 def test_client_that_names_a_header_of_the_systems_in_connection_takes_nothing_away(name):
-    sent = encode_call(
+    sent = encode_call_headers(
         end_to_end([*HEADERS, ('Connection', name)]),
         CallHeaders(instance='i-1', time_left_s=1, account='t', inputs=('h1',)),
     )
@@ -117,7 +117,7 @@
 
 
 def test_clients_own_last_event_is_passed_on():
-    sent = encode_call(HEADERS, CallHeaders(instance='i', time_left_s=1))
+    sent = encode_call_headers(HEADERS, CallHeaders(instance='i', time_left_s=1))
     assert find_header(sent, 'Last-Event-Id') == '12'
 
 
@@ -132,13 +132,13 @@
     ],
 )
 def test_proof_that_a_request_was_not_run(status, headers, not_run):
-    assert decode_marks(ResponseHead(status=status, headers=headers)).not_run is not_run
+    assert decode_response_metadata(ResponseHead(status=status, headers=headers)).not_run is not_run
 
 
 @pytest.mark.parametrize('text', ['', '1,2', 'a,b,c', '1,2,3,4'])
 def test_load_that_is_not_three_numbers_is_none(text):
     head = ResponseHead(status=200, headers=[('Worker-Load', text)])
-    assert decode_marks(head).load is None
+    assert decode_response_metadata(head).load is None
 
 
 def test_report_is_decoded():
@@ -171,11 +171,11 @@
 
 def test_start_of_a_server_is_part_of_its_identity():
     assert decode_report('i', json.dumps(GOOD).encode()).instance == 'i#1764633600000'
-    assert decode_leave('i', b'{"born":7}').instance == 'i#7'
-    assert decode_leave('i', b'').instance == 'i'
+    assert decode_departure('i', b'{"born":7}').instance == 'i#7'
+    assert decode_departure('i', b'').instance == 'i'
     headers = CallHeaders(instance='i#1764633600000', time_left_s=1)
-    assert ('Expect-Instance', 'i') in encode_call([], headers)
-    assert ('Expect-Instance', 'i') in stage_headers('i#1764633600000')
+    assert ('Expect-Instance', 'i') in encode_call_headers([], headers)
+    assert ('Expect-Instance', 'i') in stage_call_headers('i#1764633600000')
 
 
 @pytest.mark.parametrize('field', ['seq', 'born', 'slots'])
@@ -228,7 +228,7 @@
 
 @given(st.binary(max_size=60))
 def test_any_bytes_are_read_or_refused(body):
-    for decode in (decode_report, decode_leave):
+    for decode in (decode_report, decode_departure):
         try:
             decode('i', body)
         except ValueError:
@@ -245,14 +245,14 @@
     ],
 )
 def test_instance_of_a_path(path, name):
-    assert instance_of(path) == name
+    assert instance_in_path(path) == name
 
 
 def test_results_come_in_the_order_of_the_call():
     body = b'{"items":[{"handle":"1.2.3.4:5/a"},{"why":"gone"},{}]}'
     made = decode_results(body, 3)
-    assert maker_of(made[0].handle) == '1.2.3.4:5'
-    assert [outcome.fault for outcome in made] == [None, PieceFault.gone, PieceFault.error]
+    assert server_address_of(made[0].handle) == '1.2.3.4:5'
+    assert [outcome.fault for outcome in made] == [None, PieceFault.input_lost, PieceFault.error]
 
 
 @pytest.mark.parametrize('body', [b'{"items":[]}', b'{"items":[{"why":"odd"}]}', b'nothing'])
@@ -262,7 +262,7 @@
 
 
 def test_order_without_inputs_names_its_key():
-    order = PieceOrder(attempt_id='r', stage=0, piece=2, time_left_s=0.9, key='k')
-    assert msgspec.json.decode(encode_orders([order])) == {
+    order = PieceRequest(attempt_id='r', stage=0, piece=2, time_left_s=0.9, key='k')
+    assert msgspec.json.decode(encode_piece_requests([order])) == {
         'items': [{'id': 'r', 'stage': 0, 'piece': 2, 'left_ms': 900, 'key': 'k'}],
     }
--- a/tests/test_platform/test_platform_zones.py
+++ b/tests/test_platform/test_platform_zones.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ringseam.followmessages import ZoneOrder
-from ringseam.platform.zones import decode_zone_order, is_zone_path
+from ringseam.platform.zones import decode_zone_order, is_zone_order_path
 
 
 @pytest.mark.parametrize(
@@ -15,7 +15,7 @@
     ],
 )
 def test_order_is_read(method, path, expected):
-    assert is_zone_path(path)
+    assert is_zone_order_path(path)
     assert decode_zone_order(method, path, b'') == expected
 
 
--- a/tests/test_prefixes/test_prefixes_index.py
+++ b/tests/test_prefixes/test_prefixes_index.py
@@ -26,23 +26,23 @@
 def test_index_equals_cache_or_is_empty(uses, polls, gap_percent, seed):
     """After each poll, the index either equals the cache or is empty."""
     rng = random.Random(seed)
-    cache, index = PrefixCache(entries=6), PrefixIndex()
-    index.resync(cache.whole())
+    cache, index = PrefixCache(capacity=6), PrefixIndex()
+    index.resync(cache.snapshot())
     for number, prefix in enumerate(uses):
-        cache.use(prefix, lose=lambda: rng.random() * 100 < gap_percent)
+        cache.use(prefix, drop_event=lambda: rng.random() * 100 < gap_percent)
         if number in polls:
-            index.apply(cache.since(index.sequence, 0))
+            index.apply(cache.events_since(index.sequence, 0))
             if index.needs_resync:
                 assert index.newest() == ()
-                index.resync(cache.whole())
+                index.resync(cache.snapshot())
             if index.sequence == cache.sequence:
-                assert set(index.prefixes) == set(cache.held)
+                assert set(index.prefixes) == set(cache.prefixes)
 
 
 def test_restart_of_the_engine_requires_resync():
     index = PrefixIndex()
-    index.resync(PrefixCache(entries=2).whole())
-    index.apply(PrefixCache(entries=2).since(0, 0))
+    index.resync(PrefixCache(capacity=2).snapshot())
+    index.apply(PrefixCache(capacity=2).events_since(0, 0))
     assert index.needs_resync
 
 
--- a/tests/test_system/test_system_crashing.py
+++ b/tests/test_system/test_system_crashing.py
@@ -27,7 +27,7 @@
 from ringseam.ids import split_address
 from ringseam.layout import LOOPBACK, Layout, free_address
 from ringseam.lifetimes import backend_id, name_of
-from ringseam.platform.example import HOST, KEY, example_document
+from ringseam.platform.example import HOST, KEY, example_manifest
 from ringseam.platform.registration import CONFIG_PATH
 from ringseam.platform.requests import encode_request
 from ringseam.routes import ServiceName
@@ -163,7 +163,7 @@
             await role.start()
         for server in self.servers:
             await server.begin()
-        document = json.loads(example_document())
+        document = json.loads(example_manifest())
         document['routes'].append(
             {
                 **document['routes'][0],
