--- a/ringseam/cmd/demogateway.py
+++ b/ringseam/cmd/demogateway.py
@@ -1,4 +1,4 @@
-"""The part of ``ringseam demo`` that shows gateways and servers without agents."""
+"""The part of ``ringseam demo`` that runs a gateway and backend servers without agents."""
 
 from __future__ import annotations
 
@@ -46,10 +46,10 @@
 
 
 class GatewayDemo:
-    """One control host, one gateway and a server of each kind, in this process."""
+    """Run a control host, a gateway and one backend server per service in this process."""
 
     def __init__(self, *, folder: Path) -> None:
-        """Plan below ``folder``."""
+        """Keep settings and data below ``folder``."""
         self.folder = folder
         self.control_address = free_address()
         self.client_address = free_address()
@@ -64,7 +64,7 @@
         ]
 
     async def run(self) -> bool:
-        """Show one request of each kind and a server that leaves; True on success."""
+        """Run the demo and return whether all of its steps succeeded."""
         async with contextlib.AsyncExitStack() as stack:
             for role in self._build_roles():
                 stack.push_async_callback(role.close)
@@ -124,7 +124,7 @@
         refused = await self._send('signal-2', PLAIN_PATH)
         pause = refused.headers.get('Retry-After', '')
         typer.echo(
-            f'server leaves: acknowledged {acknowledged}; then {refused.status}, again in {pause} s'
+            f'server leaves: acknowledged {acknowledged}; then {refused.status}, retry in {pause} s'
         )
         succeeded = plain.status == _OK and stream.status == _OK and bool(events)
         not_run = refused.status == _UNAVAILABLE and plain_server.executed == ['signal-1']
@@ -159,7 +159,7 @@
         )
 
     async def _wait_until_ok(self, method: str, url: str, body: bytes) -> None:
-        """Call until the answer is 200: replicas elect a leader first."""
+        """Repeat a call until the status is 200; the replicas have to elect a leader first."""
         for _ in range(_READY_ATTEMPTS):
             reply = await asyncio.to_thread(
                 urllib3.request,
--- a/ringseam/cmd/zones.py
+++ b/ringseam/cmd/zones.py
@@ -1,4 +1,4 @@
-"""Commands for availability zones: show, drain, use again."""
+"""Commands that show, drain and restore availability zones."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     key_file: KeyOption,
     as_json: JsonOption = False,
 ) -> None:
-    """Send nothing new to the backend servers of a zone: ``ringseam drain-zone hall-a ...``."""
+    """Send no new requests to the backend servers of a zone: ``ringseam drain-zone hall-a ...``."""
     _send_order(ZoneOrder(zone=zone, drained=True), addresses, key_file, as_json=as_json)
 
 
@@ -47,7 +47,7 @@
     key_file: KeyOption,
     as_json: JsonOption = False,
 ) -> None:
-    """Use a drained zone again: ``ringseam restore-zone hall-a ...``."""
+    """Return a drained zone to service: ``ringseam restore-zone hall-a ...``."""
     _send_order(ZoneOrder(zone=zone, drained=False), addresses, key_file, as_json=as_json)
 
 
@@ -60,7 +60,7 @@
 
 def _print_drained_zones(reply: Any, *, as_json: bool) -> None:
     if not isinstance(reply, DrainedZones):
-        typer.echo('not taken: the control group is not complete yet', err=True)
+        typer.echo('rejected: the control group is not complete yet', err=True)
         raise typer.Exit(ExitCode.unreachable)
     if as_json:
         typer.echo(msgspec.json.encode(reply).decode())
--- a/ringseam/platform/__init__.py
+++ b/ringseam/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The provider's names and formats, translated into the product's types."""
+"""Adapter between the platform provider's wire formats and Ringseam's own types."""
--- a/ringseam/platform/example.py
+++ b/ringseam/platform/example.py
@@ -1,4 +1,4 @@
-"""A document of routes for demonstrations, in the provider's format."""
+"""Example manifest for the demo, in the provider's format."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 HOST = 'demo.example'
 KEY = 'demo-client-key'
-#: Paths of a plain route and of a stream after one stage.
+#: Path prefixes of a plain route and of a streaming route that runs one stage first.
 PLAIN_PATH = '/signal/'
 STAGED_PATH = '/report/'
 PLAIN_SERVICE = 'signals'
@@ -15,7 +15,7 @@
 
 
 def example_manifest() -> bytes:
-    """Return a document with both routes, their services and one client account."""
+    """Return a manifest with both routes, their services and one client account."""
     return msgspec.json.encode(
         {
             'version': 1,
--- a/ringseam/platform/manifest.py
+++ b/ringseam/platform/manifest.py
@@ -1,4 +1,4 @@
-"""The provider's manifest, decoded into a table of routes."""
+"""Decode the provider's manifest into a route table."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 class _Stage(msgspec.Struct):
     service: str
     after: tuple[int, ...] = ()
-    bytes: _NonNegativeFloat = 0  # size of one result
+    bytes: _NonNegativeFloat = 0  # size of one piece's result
 
 
 class _Share(msgspec.Struct):
@@ -47,14 +47,14 @@
     path_prefix: str
     kind: RequestKind
     timeout_ms: _NonNegativeFloat
-    slo_ms: _NonNegativeFloat = 0  # the latency objective
+    slo_ms: _NonNegativeFloat = 0  # latency objective; 0: none
     priority: int = 0
     service: str = ''
     split: tuple[_Share, ...] = ()
     max_attempts: int = 1
     stages: tuple[_Stage, ...] = ()
     public: bool = False
-    sticky: bool = False  # requests share prompt prefixes
+    sticky: bool = False  # route requests with a common prompt prefix to the same server
     resumable: bool = False
     gap_aim_ms: _NonNegativeFloat = 0
     allowed_regions: Optional[tuple[str, ...]] = None
@@ -81,8 +81,8 @@
     max_conns: int = 1
     engine: Optional[_Engine] = None
     pieces: Optional[_Pieces] = None
-    cold_s: _NonNegativeFloat = 0  # how long a server is cold after its start
-    cold_per_s: _NonNegativeFloat = 0  # requests a second that it bears meanwhile
+    cold_s: _NonNegativeFloat = 0  # how long a server stays cold after its start
+    cold_per_s: _NonNegativeFloat = 0  # requests per second that a cold server sustains
 
 
 class _Limits(msgspec.Struct):
@@ -111,9 +111,9 @@
 
 
 def decode_manifest(document: bytes) -> RouteTable:
-    """Return the table of routes that ``document`` describes.
+    """Decode a manifest and return its route table.
 
-    :raises FindingsError: when it is invalid, with every finding.
+    :raises FindingsError: if the manifest is invalid; lists every finding.
     """
     try:
         manifest = _DECODER.decode(document)
--- a/ringseam/platform/registration.py
+++ b/ringseam/platform/registration.py
@@ -1,4 +1,4 @@
-"""Calls by which backend servers register, and addresses of the interface."""
+"""Registration calls of backend servers, and the paths of the control interface."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 _INSTANCES_PATH = '/api/instances/'
 _MS_PER_S = 1000
 _ADDRESS_PATTERN = r'^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$'
-#: Numbers that a signed word of 64 bits holds, as the log does.
+#: Non-negative integers that fit the signed 64-bit integers of the log.
 _UInt63 = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 
 
@@ -28,18 +28,18 @@
 
 class _Report(msgspec.Struct):
     service: str
-    addr: Annotated[str, msgspec.Meta(pattern=_ADDRESS_PATTERN)]  # where it serves, IP:PORT
+    addr: Annotated[str, msgspec.Meta(pattern=_ADDRESS_PATTERN)]  # IP:PORT where it serves requests
     zone: str
-    seq: _UInt63  # grows with each report of one lifetime
+    seq: _UInt63  # increases with each report within one server lifetime
     state: _ReportedState = _ReportedState.ready
-    born: _UInt63 = 0  # Unix time in ms of its start; absent: it doesn't tell
+    born: _UInt63 = 0  # start time, Unix time in ms; 0: not reported
     version: str = ''
     slots: _UInt63 = 1
     cold_left_ms: Annotated[float, msgspec.Meta(ge=0)] = 0
 
 
 class _Departure(msgspec.Struct):
-    born: _UInt63 = 0  # as in a report
+    born: _UInt63 = 0  # as in ``_Report``
 
 
 class _ReportReply(msgspec.Struct, omit_defaults=True):
@@ -47,7 +47,7 @@
 
 
 def instance_in_path(path: str) -> str | None:
-    """Return the name of the backend server in a path, if there is one."""
+    """Return the backend server name in a path, or None if the path has none."""
     if not path.startswith(_INSTANCES_PATH):
         return None
     name = path[len(_INSTANCES_PATH) :]
@@ -55,9 +55,9 @@
 
 
 def decode_report(name: str, body: bytes) -> BackendReport:
-    """Return the report of the backend server that is called ``name``.
+    """Decode a report of the backend server ``name``.
 
-    :raises ValueError: when it can't be read, or isn't one of a backend server.
+    :raises ValueError: if the body is not a valid report.
     """
     report = decode_strictly(body, _Report)
     return BackendReport(
@@ -76,23 +76,26 @@
 
 
 def decode_departure(name: str, body: bytes) -> BackendReport:
-    """Return the report of a server that has left; ValueError when its body isn't one."""
+    """Decode the deregistration of the backend server ``name``.
+
+    :raises ValueError: if the body is not empty and not a valid deregistration.
+    """
     departure = decode_strictly(body, _Departure) if body else _Departure()
     return departure_report(backend_id(name, departure.born))
 
 
 def encode_report_reply(report_to: str) -> bytes:
-    """Return the reply to a report; ``report_to`` is where to report next."""
+    """Encode the reply to a report; ``report_to`` is the address for the next one."""
     return msgspec.json.encode(_ReportReply(heartbeat_addr=report_to))
 
 
 def report_path(instance: str) -> str:
-    """Return where a backend server reports itself."""
+    """Return the path to which a backend server sends its reports."""
     return _INSTANCES_PATH + name_of(instance)
 
 
 def encode_report(report: BackendReport) -> bytes:
-    """Return a backend server's report as it sends it."""
+    """Encode a report as a backend server sends it."""
     return msgspec.json.encode(
         _Report(
             service=report.service,
--- a/ringseam/platform/requests.py
+++ b/ringseam/platform/requests.py
@@ -1,4 +1,4 @@
-"""Headers of client requests and of calls to backend servers."""
+"""Headers of client requests, of calls to backend servers and of their responses."""
 
 from __future__ import annotations
 
@@ -15,46 +15,47 @@
     from ringseam.web.client import ResponseHead
     from ringseam.web.server import Request
 
-# One client's try; a retry of the same work has another.
+# Identifies one attempt of a client; a retry of the same work gets a new id.
 _ATTEMPT_ID = 'Attempt-Id'
 _DEADLINE = 'Deadline-Ms'
 _AUTHORIZATION = 'Authorization'
 _BEARER = 'bearer '
 _LAST_EVENT_ID = 'Last-Event-Id'
-# Prompt tokens and the most output tokens, separated by a comma.
+# Number of prompt tokens and maximum number of output tokens, comma-separated.
 _TOKENS = 'Token-Counts'
 _PROMPT_PREFIX = 'Prompt-Prefix'
-# The client's estimate of the output tokens; right at the median, often far off.
+# The client's estimate of the output tokens: accurate in the median, with large errors
+# for single requests.
 _LENGTH_HINT = 'Length-Hint'
-# How many pieces each stage has, in the order of the stages.
+# Number of pieces of each stage, in stage order.
 _PIECES = 'Pieces'
 _PIECE_KEY = 'Piece-Key'
-# Handles of the results that a model engine needs.
+# Handles of the stage results that a model engine reads as input.
 _INPUTS = 'Inputs'
 _TENANT = 'Tenant'
 _EXPECT_INSTANCE = 'Expect-Instance'
-# 0 is first; 5 applies when absent.
+# 0 is the most urgent; engines assume 5 if the header is absent.
 _REQUEST_URGENCY = 'Request-Urgency'
-# Proof that an answer is a backend server's own.
+# Proves that a response comes from the backend server itself.
 _SERVER_SEAL = 'Server-Seal'
 _NOT_EXECUTED = 'Not-Executed'
-# Running requests, waiting requests and slots.
+# Running requests, queued requests and slots, comma-separated.
 _WORKER_LOAD = 'Worker-Load'
 _RETRY_AFTER = 'Retry-After'
-# Requests a second that a backend server takes from all gateways together, while it says so.
+# Rate limit in requests per second over all gateways; in force while the server sends it.
 _SERVER_LIMIT = 'Server-Limit'
-# "1" while a backend server leaves.
+# "1" while a backend server is shutting down.
 _SERVER_LEAVING = 'Server-Leaving'
 _MISDIRECTED = 421
 _SERVICE_UNAVAILABLE = 503
-#: Headers of an answer that are for the system alone.
+#: Response headers that are internal and not passed on to clients.
 INTERNAL_RESPONSE_HEADERS = frozenset(
     name.lower() for name in (_WORKER_LOAD, _NOT_EXECUTED, 'Instance-Id')
 )
-#: Headers that are the system's alone to set on a call: the account, the server,
-#: the order at an engine, the inputs, and all that claims an engine's memory (a
-#: lease, a pin, a copy to make, to fetch or to go on from). Engines refuse what
-#: names a lease or a copy that doesn't exist, after the stages have been run.
+#: Request headers that only the system may set: the account, the server, the scheduling
+#: priority at an engine, the inputs, and everything that reserves engine memory (a lease,
+#: a pin, a copy to create, fetch or resume from). Engines reject a request that names a
+#: lease or copy that does not exist, and do so only after the stages have run.
 RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -69,13 +70,13 @@
         'Kv-From',
     )
 )
-#: What a call doesn't take over from the client's headers; the time left is set
-#: anew, and the key stays here.
+#: Client headers that are not forwarded to backend servers: the reserved ones, the deadline
+#: (replaced by the remaining time) and the client's API key.
 _NOT_FORWARDED = RESERVED_HEADERS | {_DEADLINE.lower(), _AUTHORIZATION.lower()}
 
 
 def decode_request(request: Request) -> ClientRequest:
-    """Return what a client asks for; unreadable optional headers count as absent."""
+    """Decode a client request; malformed optional headers count as absent."""
     tokens = _parse_integers(request.header(_TOKENS))
     left_ms = _parse_integer(request.header(_DEADLINE))
     host = request.header('Host').lower()
@@ -99,7 +100,7 @@
 
 
 def encode_call_headers(headers: Headers, call: CallHeaders) -> Headers:
-    """Return the headers of a request as a backend server gets them."""
+    """Return the headers of a request as it is forwarded to a backend server."""
     omitted = _NOT_FORWARDED
     if call.last_event is not None:
         omitted = omitted | {_LAST_EVENT_ID.lower()}
@@ -118,12 +119,12 @@
 
 
 def find_reserved_headers(headers: Headers) -> list[str]:
-    """Return the headers that a client sent though only the system sets them."""
+    """Return the names of reserved headers that a client has sent."""
     return [name for name, _ in headers if name.lower() in RESERVED_HEADERS]
 
 
 def stage_call_headers(instance: str) -> Headers:
-    """Return the headers of a call for pieces of stages."""
+    """Return the headers of a call that runs stage pieces."""
     headers = [('Host', 'stage'), ('Content-Type', 'application/json')]
     if instance:
         headers.append((_EXPECT_INSTANCE, name_of(instance)))
@@ -131,7 +132,7 @@
 
 
 def decode_response_metadata(head: ResponseHead) -> ResponseMetadata:
-    """Return what an answer's headers say."""
+    """Decode the metadata in the headers of a backend server's response."""
     load = _parse_integers(head.header(_WORKER_LOAD))
     limit = head.header(_SERVER_LIMIT)
     limit_per_s = _parse_amount(limit)
@@ -153,17 +154,17 @@
 
 
 def retry_after_header(seconds: float) -> tuple[str, str]:
-    """Return the header that tells a client when to come back."""
+    """Return the header that tells a client when to retry."""
     return (_RETRY_AFTER, f'{seconds:.2f}')
 
 
 def attempt_id_header(attempt_id: str) -> tuple[str, str]:
-    """Return the header that names the request of an answer."""
+    """Return the response header that names the client's attempt."""
     return (_ATTEMPT_ID, attempt_id)
 
 
 def encode_request(request: ClientRequest) -> Headers:
-    """Return the headers of a request as its client sends them."""
+    """Return the headers of a request as a client sends it."""
     headers = [
         ('Host', request.host),
         (_ATTEMPT_ID, request.attempt_id),
@@ -182,22 +183,22 @@
 
 
 def rate_limit_header(per_s: float) -> tuple[str, str]:
-    """Return the header by which a backend server names its limit."""
+    """Return the header with which a backend server announces its rate limit."""
     return (_SERVER_LIMIT, f'{per_s:g}')
 
 
 def leaving_header() -> tuple[str, str]:
-    """Return the header by which a backend server says that it leaves."""
+    """Return the header with which a backend server announces its shutdown."""
     return (_SERVER_LEAVING, '1')
 
 
 def not_run_header() -> tuple[str, str]:
-    """Return the header that says that a backend server did not run a request."""
+    """Return the header that states that the backend server did not run the request."""
     return (_NOT_EXECUTED, '1')
 
 
 def identity_headers(attempt_id: str) -> Headers:
-    """Return the marks by which a backend server's answer is known as its own."""
+    """Return the headers that prove that a response comes from the backend server itself."""
     return [(_ATTEMPT_ID, attempt_id), (_SERVER_SEAL, 'stand-in')]
 
 
@@ -206,7 +207,7 @@
 
 
 def _parse_amount(text: str) -> float | None:
-    """Return a decimal number that is finite and not negative, else None."""
+    """Return a finite, non-negative decimal number, or None if the text is not one."""
     try:
         amount = float(text)
     except ValueError:
--- a/ringseam/platform/stages.py
+++ b/ringseam/platform/stages.py
@@ -1,4 +1,4 @@
-"""Calls to backend servers that work on pieces of stages."""
+"""Calls that run stage pieces on backend servers and release their results."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PieceRequest:
-    """One piece to work on; ``inputs`` are handles, ``key`` marks own input."""
+    """A piece to run; ``inputs`` are result handles, ``key`` identifies input of its own."""
 
     attempt_id: str
     stage: int
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PieceResult:
-    """A piece's handle, or why there is none."""
+    """The handle of a piece's result, or the reason why there is none."""
 
     handle: str = ''
     fault: PieceFault | None = None
 
 
 class _PieceRequest(msgspec.Struct, omit_defaults=True):
-    id: str  # the client's Attempt-Id
+    id: str  # the client's ``Attempt-Id``
     stage: int
     piece: int
     left_ms: int
@@ -74,7 +74,7 @@
 
 
 def encode_piece_requests(requests: list[PieceRequest]) -> bytes:
-    """Return the body of a call for pieces."""
+    """Encode the body of a call that runs pieces."""
     return msgspec.json.encode(
         _PieceRequests(
             requests=[
@@ -93,9 +93,9 @@
 
 
 def decode_results(body: bytes, expected: int) -> list[PieceResult]:
-    """Return the results in the order of the call.
+    """Decode the results of a call, in the order of its pieces.
 
-    :raises msgspec.MsgspecError: when they can't be read or are not as many.
+    :raises msgspec.MsgspecError: if the body is invalid or has another number of results.
     """
     piece_results = _RESULTS_DECODER.decode(body).piece_results
     if len(piece_results) != expected:
@@ -110,9 +110,9 @@
 
 
 def decode_piece_requests(body: bytes) -> list[PieceRequest]:
-    """Return what a call for pieces asks for, as a backend server sees it.
+    """Decode the body of a call that runs pieces, on the backend server's side.
 
-    :raises msgspec.MsgspecError: when it can't be read.
+    :raises msgspec.MsgspecError: if the body is invalid.
     """
     return [
         PieceRequest(
@@ -128,7 +128,7 @@
 
 
 def encode_results(piece_results: list[PieceResult]) -> bytes:
-    """Return the answer of a backend server to a call for pieces."""
+    """Encode a backend server's response to a call that runs pieces."""
     return msgspec.json.encode(
         _PieceResults(
             piece_results=[
@@ -139,10 +139,10 @@
 
 
 def encode_release(handles: list[str]) -> bytes:
-    """Return the body of a call that releases results."""
+    """Encode the body of a call that releases results."""
     return msgspec.json.encode(_Handles(handles=handles))
 
 
 def server_address_of(handle: str) -> str:
-    """Return the address of the backend server that keeps a result."""
+    """Return the address of the backend server that holds the result."""
     return handle.partition('/')[0]
--- a/ringseam/platform/zones.py
+++ b/ringseam/platform/zones.py
@@ -1,4 +1,4 @@
-"""Calls by which operators drain availability zones and use them again."""
+"""Operator calls that drain and restore availability zones."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from ringseam.util.pathnames import decode_name
 
 _EVACUATE_PATH = '/api/evacuate/'
-#: Whether a zone is drained after a call, by its method.
+#: Whether the zone is drained after a call, by HTTP method.
 _DRAINED_BY_METHOD = types.MappingProxyType({'POST': True, 'DELETE': False})
 
 
 def is_zone_order_path(path: str) -> bool:
-    """Return whether a path names an order for a zone."""
+    """Return whether a path is that of a zone order."""
     return path.startswith(_EVACUATE_PATH)
 
 
 def is_zone_order_method(method: str) -> bool:
-    """Return whether there is an order by this method."""
+    """Return whether a zone order can have this HTTP method."""
     return method in _DRAINED_BY_METHOD
 
 
 def decode_zone_order(method: str, path: str, body: bytes) -> ZoneOrder:
-    """Return the order of a call to a path of :func:`is_zone_order_path`.
+    """Decode a call to a path that :func:`is_zone_order_path` accepts.
 
-    :raises ValueError: when it isn't one.
+    :raises ValueError: if the call is not a valid zone order.
     """
     if body:
         raise ValueError('an order for a zone has no body')
--- a/ringseam/standin/direct.py
+++ b/ringseam/standin/direct.py
@@ -1,4 +1,4 @@
-"""A stand-in backend server that gateways call directly and that reports itself."""
+"""A stand-in backend server that gateways call directly and that reports to control itself."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class DirectServer:
-    """Answer plain requests, streams and calls for pieces of one service."""
+    """Serve plain requests, streams and stage pieces of one service."""
 
     def __init__(
         self,
@@ -55,19 +55,19 @@
         control: str,
         zone: str = 'zone-1',
     ) -> None:
-        """Report to the HTTP address of a control host."""
+        """Send reports to ``control``, the HTTP address of a control host."""
         self.instance = instance
         self.service = service
         self.control = control
         self.zone = zone
         self.address = ''
         self.sequence = 0
-        #: What its answers say of itself: requests a second that it takes; that it leaves.
+        #: Announced in response headers: the rate limit in requests per second, and shutdown.
         self.limit_per_s: float | None = None
         self.announces_leaving = False
-        #: While it is positive, all that comes is turned away with this pause, seconds.
+        #: While positive, all calls are refused with this Retry-After time in seconds.
         self.pause_s: float = 0
-        #: Identities of the requests and pieces that ran here, in order.
+        #: Ids of the requests and pieces that this server has run, in order.
         self.executed: list[str] = []
         self.http = HttpServer(handler=self.serve, limits=HttpLimits())
         self.connections = urllib3.PoolManager(retries=False)
@@ -78,7 +78,7 @@
         self.address = f'{host}:{port}'
 
     async def report(self, state: BackendState = BackendState.ready) -> bool:
-        """Report to control; True when it was acknowledged."""
+        """Send a report to control and return whether it was acknowledged."""
         self.sequence += 1
         report = BackendReport(
             instance=self.instance,
@@ -99,7 +99,7 @@
         return reply.status == _HTTP_OK
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer one call of a gateway."""
+        """Handle one call of a gateway."""
         path = exchange.request.path
         if self.pause_s:
             await exchange.respond(
@@ -115,7 +115,7 @@
             await self._respond(exchange)
 
     def _notice_headers(self) -> Headers:
-        """Return what each answer says of this server."""
+        """Return the headers with which each response announces this server's state."""
         headers = [leaving_header()] if self.announces_leaving else []
         if self.limit_per_s is not None:
             headers.append(rate_limit_header(self.limit_per_s))
@@ -142,7 +142,7 @@
         try:
             requests = decode_piece_requests(exchange.request.body)
         except msgspec.MsgspecError as error:
-            logger.warning('call for pieces: %s', error)
+            logger.warning('invalid call for stage pieces: %s', error)
             await exchange.respond(_BAD_REQUEST, [])
             return
         await asyncio.sleep(_PIECE_DURATION_S * len(requests))
--- a/tests/test_platform/test_platform_manifest.py
+++ b/tests/test_platform/test_platform_manifest.py
@@ -1,4 +1,4 @@
-"""Documents of routes: what is read, and each fault as a finding."""
+"""Manifests: decoding of valid ones, and a finding for each fault of an invalid one."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     return decode_manifest(json.dumps(document).encode())
 
 
-def test_whole_document_is_read():
+def test_valid_manifest_is_decoded():
     table = decode(manifest())
     found = table.match('a.example', '/x/y')
     assert table.number == 7
@@ -65,7 +65,7 @@
     assert table.account_by_key('k3') is None
 
 
-def test_longest_prefix_of_the_host_wins():
+def test_longest_path_prefix_of_the_host_matches():
     routes = [
         route(name='short', path_prefix='/x/'),
         route(name='long', path_prefix='/x/y/'),
@@ -112,10 +112,10 @@
 
 
 @pytest.mark.parametrize('share', [0, 0.01, 0.3, 0.7, 0.99])
-def test_document_that_is_cut_short_is_refused(share):
-    whole = json.dumps(manifest()).encode()
+def test_truncated_manifest_is_rejected(share):
+    encoded = json.dumps(manifest()).encode()
     with pytest.raises(FindingsError):
-        decode_manifest(whole[: int(share * len(whole))])
+        decode_manifest(encoded[: int(share * len(encoded))])
 
 
 @given(st.binary(max_size=200))
@@ -124,7 +124,7 @@
         decode_manifest(body)
 
 
-def test_split_routes_keep_their_weights():
+def test_split_route_leaves_out_targets_of_weight_0():
     split = [{'service': 'llm', 'weight': 90}, {'service': 'crops', 'weight': 0}]
     table = decode(manifest(routes=[route(split=split)]))
     assert [target.service for target in table.routes[0].targets] == ['llm']
--- a/tests/test_platform/test_platform_requests.py
+++ b/tests/test_platform/test_platform_requests.py
@@ -1,4 +1,4 @@
-"""Headers of requests, calls and answers."""
+"""Headers of requests, calls and responses; bodies of reports and stage calls."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
     decode_request(request(headers))
 
 
-def test_call_says_what_the_system_decides_and_not_what_the_client_claims():
+def test_call_headers_are_set_by_the_system_and_not_by_the_client():
     call = CallHeaders(
         instance='i-1', time_left_s=0.75, account='t', inputs=('h1', 'h2'), last_event=20
     )
@@ -85,30 +85,30 @@
     assert len(names) == len(set(names))
 
 
-#: Each of these makes an engine refuse a request, or run it as someone else's.
-CLAIMS = ('Tenant', 'Expect-Instance', 'Request-Urgency', 'Inputs', 'Hold', 'Pin-Ms')
-COPY_CLAIMS = ('Kv-Backup', 'Kv-Fetch', 'Kv-From')
+#: Each of these headers can make an engine reject a request or run it for another account.
+RESERVED = ('Tenant', 'Expect-Instance', 'Request-Urgency', 'Inputs', 'Hold', 'Pin-Ms')
+RESERVED_FOR_COPIES = ('Kv-Backup', 'Kv-Fetch', 'Kv-From')
 
 
-def test_all_claims_are_the_systems_alone():
-    assert {name.lower() for name in CLAIMS + COPY_CLAIMS} == RESERVED_HEADERS
+def test_all_claiming_headers_are_reserved():
+    assert {name.lower() for name in RESERVED + RESERVED_FOR_COPIES} == RESERVED_HEADERS
 
 
 @pytest.mark.parametrize('name', sorted(RESERVED_HEADERS))
-@pytest.mark.parametrize('spell', [str.lower, str.upper, str.title])
+@pytest.mark.parametrize('change_case', [str.lower, str.upper, str.title])
 @pytest.mark.parametrize('times', [1, 2, 200])
-def test_what_only_the_system_sets_is_dropped_from_clients_headers(name, spell, times):
-    claims = [(spell(name), 'forged')] * times
+def test_reserved_headers_of_clients_are_not_forwarded(name, change_case, times):
+    forged = [(change_case(name), 'forged')] * times
     sent = encode_call_headers(
-        end_to_end([*HEADERS, *claims]),
+        end_to_end([*HEADERS, *forged]),
         CallHeaders(instance='i-1', time_left_s=1, account='t', urgency=2, inputs=('h1',)),
     )
     assert 'forged' not in [text for _, text in sent]
-    assert len(find_reserved_headers([*HEADERS, *claims])) == times + 2
+    assert len(find_reserved_headers([*HEADERS, *forged])) == times + 2
 
 
 @pytest.mark.parametrize('name', ['Tenant', 'Expect-Instance', 'Inputs', 'Deadline-Ms'])
-def test_client_that_names_a_header_of_the_systems_in_connection_takes_nothing_away(name):
+def test_connection_header_of_a_client_removes_no_system_header(name):
     sent = encode_call_headers(
         end_to_end([*HEADERS, ('Connection', name)]),
         CallHeaders(instance='i-1', time_left_s=1, account='t', inputs=('h1',)),
@@ -116,7 +116,7 @@
     assert find_header(sent, name) in {'t', 'i-1', 'h1', '1000'}
 
 
-def test_clients_own_last_event_is_passed_on():
+def test_last_event_id_of_the_client_is_forwarded():
     sent = encode_call_headers(HEADERS, CallHeaders(instance='i', time_left_s=1))
     assert find_header(sent, 'Last-Event-Id') == '12'
 
@@ -131,7 +131,7 @@
         (500, [], False),
     ],
 )
-def test_proof_that_a_request_was_not_run(status, headers, not_run):
+def test_response_that_states_that_the_request_was_not_run(status, headers, not_run):
     assert decode_response_metadata(ResponseHead(status=status, headers=headers)).not_run is not_run
 
 
@@ -160,17 +160,17 @@
         b'\xff\xfe',
     ],
 )
-def test_report_with_wrong_types_is_refused(body):
+def test_report_with_wrong_types_is_rejected(body):
     with pytest.raises(ValueError, match=r'\S'):
         decode_report('i', body)
 
 
-GOOD = {'service': 's', 'addr': '1.2.3.4:5', 'zone': 'z', 'seq': 1, 'born': 1764633600000}
-ODD = (None, True, 1.5, 1764633600000.0, -1, 2**63, 2**70, '1', [], {}, {'a': {}})
+VALID_REPORT = {'service': 's', 'addr': '1.2.3.4:5', 'zone': 'z', 'seq': 1, 'born': 1764633600000}
+INVALID_NUMBERS = (None, True, 1.5, 1764633600000.0, -1, 2**63, 2**70, '1', [], {}, {'a': {}})
 
 
-def test_start_of_a_server_is_part_of_its_identity():
-    assert decode_report('i', json.dumps(GOOD).encode()).instance == 'i#1764633600000'
+def test_start_time_of_a_server_is_part_of_its_id():
+    assert decode_report('i', json.dumps(VALID_REPORT).encode()).instance == 'i#1764633600000'
     assert decode_departure('i', b'{"born":7}').instance == 'i#7'
     assert decode_departure('i', b'').instance == 'i'
     headers = CallHeaders(instance='i#1764633600000', time_left_s=1)
@@ -179,15 +179,15 @@
 
 
 @pytest.mark.parametrize('field', ['seq', 'born', 'slots'])
-@pytest.mark.parametrize('odd', ODD, ids=str)
-def test_number_that_is_none_names_no_server(field, odd):
+@pytest.mark.parametrize('value', INVALID_NUMBERS, ids=str)
+def test_report_with_an_invalid_number_is_rejected(field, value):
     with pytest.raises(ValueError, match=field):
-        decode_report('i', json.dumps({**GOOD, field: odd}).encode())
+        decode_report('i', json.dumps({**VALID_REPORT, field: value}).encode())
 
 
 @pytest.mark.parametrize('missing', ['service', 'addr', 'zone', 'seq'])
-def test_report_without_a_field_names_no_server(missing):
-    fields = {name: value for name, value in GOOD.items() if name != missing}
+def test_report_without_a_required_field_is_rejected(missing):
+    fields = {name: value for name, value in VALID_REPORT.items() if name != missing}
     with pytest.raises(ValueError, match=missing):
         decode_report('i', json.dumps(fields).encode())
 
@@ -204,23 +204,25 @@
     ],
     ids=['twice', 'address', 'cut', 'deep', 'huge', 'nan'],
 )
-def test_report_of_another_writer_names_no_server(body):
+def test_malformed_report_is_rejected(body):
     with pytest.raises(ValueError, match=r'\S'):
         decode_report('i', body)
 
 
-fields = st.recursive(
+json_values = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=3), inner),
     max_leaves=8,
 )
 
 
-@given(st.fixed_dictionaries({}, optional=dict.fromkeys([*GOOD, 'state', 'new'], fields)))
-def test_any_report_is_read_or_refused(odd):
-    """What is read has fields that the log and the calls between processes carry."""
+@given(
+    st.fixed_dictionaries({}, optional=dict.fromkeys([*VALID_REPORT, 'state', 'new'], json_values))
+)
+def test_any_report_is_read_or_refused(overrides):
+    """A decoded report must survive MessagePack, which the log and internal calls use."""
     try:
-        report = decode_report('i', json.dumps({**GOOD, **odd}).encode())
+        report = decode_report('i', json.dumps({**VALID_REPORT, **overrides}).encode())
     except ValueError:
         return
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(report), type=BackendReport) == report
@@ -244,25 +246,29 @@
         ('/api/instances/a#5', None),
     ],
 )
-def test_instance_of_a_path(path, name):
+def test_instance_in_path(path, name):
     assert instance_in_path(path) == name
 
 
-def test_results_come_in_the_order_of_the_call():
+def test_results_are_in_the_order_of_the_call():
     body = b'{"items":[{"handle":"1.2.3.4:5/a"},{"why":"gone"},{}]}'
-    made = decode_results(body, 3)
-    assert server_address_of(made[0].handle) == '1.2.3.4:5'
-    assert [outcome.fault for outcome in made] == [None, PieceFault.input_lost, PieceFault.error]
+    piece_results = decode_results(body, 3)
+    assert server_address_of(piece_results[0].handle) == '1.2.3.4:5'
+    assert [result.fault for result in piece_results] == [
+        None,
+        PieceFault.input_lost,
+        PieceFault.error,
+    ]
 
 
 @pytest.mark.parametrize('body', [b'{"items":[]}', b'{"items":[{"why":"odd"}]}', b'nothing'])
-def test_results_that_do_not_answer_the_call_are_refused(body):
+def test_results_that_do_not_match_the_call_are_rejected(body):
     with pytest.raises(msgspec.MsgspecError):
         decode_results(body, 1)
 
 
-def test_order_without_inputs_names_its_key():
-    order = PieceRequest(attempt_id='r', stage=0, piece=2, time_left_s=0.9, key='k')
-    assert msgspec.json.decode(encode_piece_requests([order])) == {
+def test_piece_request_without_inputs_has_its_key():
+    piece_request = PieceRequest(attempt_id='r', stage=0, piece=2, time_left_s=0.9, key='k')
+    assert msgspec.json.decode(encode_piece_requests([piece_request])) == {
         'items': [{'id': 'r', 'stage': 0, 'piece': 2, 'left_ms': 900, 'key': 'k'}],
     }
--- a/tests/test_platform/test_platform_zones.py
+++ b/tests/test_platform/test_platform_zones.py
@@ -1,4 +1,4 @@
-"""Calls of operators for availability zones: what is read, and what is refused."""
+"""Zone orders of operators: decoding of valid calls and rejection of invalid ones."""
 
 import pytest
 
@@ -14,7 +14,7 @@
         ('POST', '/api/evacuate/Th%C3%A8s%20a', ZoneOrder(zone='Thès a', drained=True)),
     ],
 )
-def test_order_is_read(method, path, expected):
+def test_zone_order_is_decoded(method, path, expected):
     assert is_zone_order_path(path)
     assert decode_zone_order(method, path, b'') == expected
 
@@ -31,6 +31,6 @@
         (f'/api/evacuate/{"a" * 10_000}', b'', '255 at most'),
     ],
 )
-def test_what_is_no_order_is_named(path, body, finding):
+def test_invalid_zone_order_is_rejected(path, body, finding):
     with pytest.raises(ValueError, match=finding):
         decode_zone_order('POST', path, body)
