--- a/ringseam/rpc.py
+++ b/ringseam/rpc.py
@@ -231,7 +231,7 @@
             method.reply,
         )
         try:
-            # A timeout scope needs no separate task.
+            # A timeout scope avoids the cost of a separate task for each call.
             async with asyncio.timeout(timeout_s):
                 return await stub(message)
         except CALL_ERRORS as error:
