--- a/bench/soakwords.py
+++ b/bench/soakwords.py
@@ -55,9 +55,9 @@
 
     async def limit(self, begun):
         self.per_s = self.soak.dice.choice(LIMITS)
-        self.server.limit_per_s = self.per_s
+        self.server.rate_limit_per_s = self.per_s
         await asyncio.sleep(LIMITED_S)
-        self.server.limit_per_s = None
+        self.server.rate_limit_per_s = None
 
     async def rest(self, begun):
         while time.monotonic() < begun + REST_S:
--- a/ringseam/platform/stages.py
+++ b/ringseam/platform/stages.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PieceRequest:
-    """A piece to run; ``inputs`` are result handles, ``key`` identifies input of its own."""
+    """A piece to run on the results ``inputs`` or, without any, on the client's input ``key``."""
 
     attempt_id: str
     stage: int
--- a/ringseam/standin/direct.py
+++ b/ringseam/standin/direct.py
@@ -63,7 +63,7 @@
         self.address = ''
         self.sequence = 0
         #: Announced in response headers: the rate limit in requests per second, and shutdown.
-        self.limit_per_s: float | None = None
+        self.rate_limit_per_s: float | None = None
         self.announces_leaving = False
         #: While positive, all calls are refused with this Retry-After time in seconds.
         self.pause_s: float = 0
@@ -117,8 +117,8 @@
     def _notice_headers(self) -> Headers:
         """Return the headers with which each response announces this server's state."""
         headers = [leaving_header()] if self.announces_leaving else []
-        if self.limit_per_s is not None:
-            headers.append(rate_limit_header(self.limit_per_s))
+        if self.rate_limit_per_s is not None:
+            headers.append(rate_limit_header(self.rate_limit_per_s))
         return headers
 
     async def _respond(self, exchange: Exchange) -> None:
