--- a/ringseam/agent/server.py
+++ b/ringseam/agent/server.py
@@ -49,7 +49,7 @@
     StageReply,
     Tombstone,
 )
-from ringseam.util.actors import Ask, ReplyTo
+from ringseam.util.actors import ActorRequest, ReplyTo
 
 if TYPE_CHECKING:
     from ringseam.node import Node
@@ -100,7 +100,7 @@
         """Pass the message to its handler."""
         reply_to = None
         body = message
-        if isinstance(message, Ask):
+        if isinstance(message, ActorRequest):
             reply_to, body = message.reply_to, message.body
         _HANDLERS[type(body)](self, body, reply_to)
 
--- a/ringseam/config.py
+++ b/ringseam/config.py
@@ -14,7 +14,7 @@
 
 from ringseam.errors import Finding, FindingsError
 from ringseam.ids import qualified_name
-from ringseam.util.ini import Document, Key, Kind, nearest, parse_ini
+from ringseam.util.ini import IniDocument, Key, Kind, parse_ini, suggest_name
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -198,7 +198,7 @@
 class _PartReader:
     """Builds a part from an INI document and collects findings in the document."""
 
-    def __init__(self, *, document: Document) -> None:
+    def __init__(self, *, document: IniDocument) -> None:
         self.document = document
         self.sections: dict[str, Sections] = {kind: {} for kind in SECTIONS}
 
@@ -207,12 +207,12 @@
         for section in self.document.parser.sections():
             self._read_section(section)
         if '' not in self.sections['part']:
-            self.document.report('part', '', 'missing; each file must name its part')
+            self.document.add_finding('part', '', 'missing; each file must name its part')
         part = self.sections['part'].get('', {'name': '', 'operator_token_sha256': ''})
         self._check_digest('part', 'operator_token_sha256', part['operator_token_sha256'])
         name = part['name'] or ''
         if '/' in name:
-            self.document.report('part', 'name', 'the name of a part must not contain "/"')
+            self.document.add_finding('part', 'name', 'the name of a part must not contain "/"')
         part_file = PartFile(name=name, operator_token_sha256=part['operator_token_sha256'] or '')
         self._read_accounts_pools_and_grants(part_file)
         self._read_stages(part_file)
@@ -222,17 +222,17 @@
     def _read_section(self, section: str) -> None:
         kind, _, name = section.partition(' ')
         if kind not in SECTIONS:
-            hint = nearest(kind, list(SECTIONS))
-            self.document.report(section, '', f'unknown section{hint}')
+            hint = suggest_name(kind, list(SECTIONS))
+            self.document.add_finding(section, '', f'unknown section{hint}')
             return
         if (kind == 'part') == bool(name):
             expected = '[part]' if kind == 'part' else f'[{kind} NAME]'
-            self.document.report(section, '', f'must be written as {expected}')
-        self.sections[kind][name.strip()] = self.document.read(section, SECTIONS[kind])
+            self.document.add_finding(section, '', f'must be written as {expected}')
+        self.sections[kind][name.strip()] = self.document.read_section(section, SECTIONS[kind])
 
     def _check_digest(self, section: str, key: str, text: str | None) -> None:
         if text and not _DIGEST.match(text):
-            self.document.report(section, key, 'is not a SHA-256 in 64 hexadecimal digits')
+            self.document.add_finding(section, key, 'is not a SHA-256 in 64 hexadecimal digits')
 
     def _read_accounts_pools_and_grants(self, part: PartFile) -> None:
         for name, keys in self.sections['account'].items():
@@ -267,7 +267,7 @@
             self._check_known(section, 'stages', stages, part.stages)
             self._check_known(section, 'accounts', accounts, part.accounts)
             if len(set(stages)) < len(stages):
-                self.document.report(section, 'stages', 'a stage is listed more than once')
+                self.document.add_finding(section, 'stages', 'a stage is listed more than once')
             part.pipelines[full_name] = Pipeline(
                 name=full_name,
                 stages=tuple(part.stages[stage] for stage in stages if stage in part.stages),
@@ -285,8 +285,10 @@
         for name in names:
             if name not in known:
                 short_name = name.rpartition('/')[-1]
-                hint = nearest(short_name, [full_name.rpartition('/')[-1] for full_name in known])
-                self.document.report(section, key, f'"{short_name}" is not in this file{hint}')
+                hint = suggest_name(
+                    short_name, [full_name.rpartition('/')[-1] for full_name in known]
+                )
+                self.document.add_finding(section, key, f'"{short_name}" is not in this file{hint}')
 
 
 @dataclass(kw_only=True)
--- a/ringseam/control/openinterface.py
+++ b/ringseam/control/openinterface.py
@@ -31,8 +31,8 @@
     instance_in_path,
 )
 from ringseam.platform.zones import decode_zone_order, is_zone_order_method, is_zone_order_path
-from ringseam.util.jsonbody import json_body
-from ringseam.util.linebudget import LineBudget
+from ringseam.util.jsonbody import encode_json
+from ringseam.util.logratelimit import LogRateLimiter
 from ringseam.zones import DrainedZones
 
 if TYPE_CHECKING:
@@ -103,7 +103,9 @@
         self.metrics = metrics
         self.document_bytes = document_bytes
         self.zones = zones
-        self.refusal_log_budget = LineBudget(lines=_REFUSAL_LOG_BURST, per_s=_REFUSAL_LOGS_PER_S)
+        self.refusal_log_budget = LogRateLimiter(
+            burst=_REFUSAL_LOG_BURST, per_s=_REFUSAL_LOGS_PER_S
+        )
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request, and record its duration and status."""
@@ -156,7 +158,7 @@
 
     async def _refuse_report(self, exchange: Exchange, name: str, finding: str) -> None:
         self.metrics.add('reports_refused')
-        if self.refusal_log_budget.allows(self.node.clock.now()):
+        if self.refusal_log_budget.try_acquire(self.node.clock.now()):
             self.node.events.emit(
                 logger,
                 Event.report_refused,
@@ -191,7 +193,7 @@
             SUBMIT, submit, self.follow_service.documents.accept, _SUBMIT_TIMEOUT_S
         )
         if isinstance(reply, AcceptedDocument):
-            await exchange.respond(_OK, [_JSON], json_body({}))
+            await exchange.respond(_OK, [_JSON], encode_json({}))
         else:
             await exchange.respond(_UNAVAILABLE, [])
 
@@ -227,7 +229,7 @@
             ORDER_ZONE, order, self.follow_service.zones.order, _ORDER_TIMEOUT_S
         )
         status = _OK if isinstance(reply, DrainedZones) else _UNAVAILABLE
-        await exchange.respond(status, [_JSON], json_body({}))
+        await exchange.respond(status, [_JSON], encode_json({}))
 
     async def _parse_order(self, exchange: Exchange) -> ZoneOrder | None:
         """Return the order of a request; None if it was refused and answered."""
@@ -264,7 +266,7 @@
         *,
         status: int = _BAD_REQUEST,
     ) -> None:
-        await exchange.respond(status, [_JSON], json_body({'findings': findings}))
+        await exchange.respond(status, [_JSON], encode_json({'findings': findings}))
 
     # -- helpers ------------------------------------------------------------
 
--- a/ringseam/control/replicaactor.py
+++ b/ringseam/control/replicaactor.py
@@ -9,7 +9,7 @@
 
 from ringseam.errors import StorageError
 from ringseam.events import Event
-from ringseam.util.actors import Ask
+from ringseam.util.actors import ActorRequest
 
 if TYPE_CHECKING:
     from ringseam.control.replica import Replica
@@ -38,7 +38,7 @@
         """
         reply_to = None
         body = message
-        if isinstance(message, Ask):
+        if isinstance(message, ActorRequest):
             reply_to, body = message.reply_to, message.body
         replica = self.replica
         try:
--- a/ringseam/gateway/following/ends.py
+++ b/ringseam/gateway/following/ends.py
@@ -33,7 +33,7 @@
     from ringseam.node import Node
     from ringseam.quarantinemessages import Suspect
     from ringseam.rpc import CallClient
-    from ringseam.web.client import ChannelPool
+    from ringseam.web.client import HttpChannelPool
 
 logger = logging.getLogger(__name__)
 
@@ -97,7 +97,7 @@
         client: CallClient,
         follower: Follower,
         health: HealthTracker,
-        pool: ChannelPool,
+        pool: HttpChannelPool,
         served: RecentAnswers,
         on_crash: Callable[[ServerCrash, float], None],
     ) -> None:
--- a/ringseam/gateway/following/guard.py
+++ b/ringseam/gateway/following/guard.py
@@ -35,7 +35,7 @@
     from ringseam.gateway.requestcontext import RequestContext
     from ringseam.node import Node
     from ringseam.rpc import CallClient
-    from ringseam.web.client import ChannelPool
+    from ringseam.web.client import HttpChannelPool
 
 logger = logging.getLogger(__name__)
 
@@ -54,7 +54,7 @@
         client: CallClient,
         follower: Follower,
         health: HealthTracker,
-        pool: ChannelPool,
+        pool: HttpChannelPool,
     ) -> None:
         """Report to the leader that ``follower`` is connected to."""
         self.node = node
--- a/ringseam/gateway/requestcontext.py
+++ b/ringseam/gateway/requestcontext.py
@@ -14,7 +14,7 @@
     from ringseam.calls import ClientRequest, ResponseMetadata
     from ringseam.contents import ContentId
     from ringseam.routes import Account, Route, ServiceName
-    from ringseam.web.client import Channel, ResponseHead
+    from ringseam.web.client import HttpChannel, ResponseHead
     from ringseam.web.server import Exchange
 
 
@@ -115,7 +115,7 @@
 
     head: ResponseHead
     marks: ResponseMetadata
-    channel: Channel
+    channel: HttpChannel
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/ringseam/gateway/requests/attempts.py
+++ b/ringseam/gateway/requests/attempts.py
@@ -218,7 +218,7 @@
     ) -> TryOutcome:
         try:
             async with asyncio.timeout(max(0, context.deadline - self.clock.now())):
-                body = await answered.channel.whole_body()
+                body = await answered.channel.read_body()
         except ChannelError as error:
             self._record_server_failure(context, server)
             return Lost(cause=LossCause.broken, detail=f'{server.address}: {error}')
--- a/ringseam/gateway/requests/forwarding.py
+++ b/ringseam/gateway/requests/forwarding.py
@@ -18,7 +18,7 @@
 from ringseam.platform.requests import decode_request
 from ringseam.platform.stages import PieceFault
 from ringseam.quarantine import TrialState
-from ringseam.util.tasks import cancelled
+from ringseam.util.tasks import cancel_and_wait
 
 if TYPE_CHECKING:
     from ringseam.calls import ClientRequest
@@ -294,7 +294,7 @@
         finally:
             shutdown.cancel()
             # Results are released after this; a stage may start to use them until then.
-            await cancelled(running)
+            await cancel_and_wait(running)
 
     async def _refuse_failed_stages(
         self, context: RequestContext, stages: StageRun, fault: StageFault
--- a/ringseam/gateway/requests/relay.py
+++ b/ringseam/gateway/requests/relay.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from ringseam.platform.requests import INTERNAL_RESPONSE_HEADERS
-from ringseam.web.bodies import EventSplitter, end_to_end
+from ringseam.web.bodies import EventSplitter, end_to_end_headers
 from ringseam.web.client import ChannelError
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
     from ringseam.clock import Clock
     from ringseam.gateway.requestcontext import Answered, RequestContext
     from ringseam.web.bodies import Headers
-    from ringseam.web.client import Channel, ResponseHead
+    from ringseam.web.client import HttpChannel, ResponseHead
 
 logger = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
     """Return the headers of a response that are forwarded to the client."""
     return [
         (name, text)
-        for name, text in end_to_end(head.headers)
+        for name, text in end_to_end_headers(head.headers)
         if name.lower() not in INTERNAL_RESPONSE_HEADERS
     ]
 
@@ -90,16 +90,16 @@
             logger.debug('stream aborted by the server: %s', error)
             return StreamOutcome.broken
 
-    async def _forward_events(self, channel: Channel) -> StreamOutcome:
+    async def _forward_events(self, channel: HttpChannel) -> StreamOutcome:
         while True:  # noqa: WPS457 - ends with the stream
             left = max(0, self.context.deadline - self.clock.now())
             async with asyncio.timeout(min(left, STREAM_IDLE_TIMEOUT_S)):
-                chunk = await channel.chunk()
+                chunk = await channel.read_chunk()
             self.on_chunk()
             if chunk is None:
-                return StreamOutcome.broken if self.splitter.rest else StreamOutcome.complete
+                return StreamOutcome.broken if self.splitter.remainder else StreamOutcome.complete
             complete = await self._forward_chunk(chunk)
-            self.on_forwarded(asyncio.get_running_loop().time() - channel.heard_at)
+            self.on_forwarded(asyncio.get_running_loop().time() - channel.received_at)
             if not complete:
                 return StreamOutcome.out_of_order
 
--- a/ringseam/gateway/requests/sending.py
+++ b/ringseam/gateway/requests/sending.py
@@ -11,7 +11,7 @@
 from ringseam.gateway.priorities import engine_urgency
 from ringseam.gateway.requestcontext import Answered, LossCause, Lost, NotRun
 from ringseam.platform.requests import decode_response_metadata, encode_call_headers
-from ringseam.web.bodies import end_to_end
+from ringseam.web.bodies import end_to_end_headers
 from ringseam.web.client import ChannelError
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     from ringseam.gateway.following.health import HealthTracker
     from ringseam.gateway.following.serverwords import ServerNotices
     from ringseam.gateway.requestcontext import RequestContext, TryOutcome
-    from ringseam.web.client import Channel, ChannelPool, ResponseHead
+    from ringseam.web.client import HttpChannel, HttpChannelPool, ResponseHead
 
 logger = logging.getLogger(__name__)
 
@@ -38,7 +38,7 @@
     def __init__(
         self,
         *,
-        pool: ChannelPool,
+        pool: HttpChannelPool,
         health: HealthTracker,
         silence: SilenceDetector,
         clock: Clock,
@@ -83,14 +83,14 @@
 
     async def _send_and_receive(
         self,
-        channel: Channel,
+        channel: HttpChannel,
         context: RequestContext,
         server: BackendReport,
         last_event: int | None,
     ) -> TryOutcome:
         request = context.exchange.request
         headers = encode_call_headers(
-            end_to_end(request.headers),
+            end_to_end_headers(request.headers),
             CallHeaders(
                 instance=server.instance,
                 time_left_s=context.deadline - self.clock.now(),
@@ -110,13 +110,15 @@
                 cause=LossCause.timeout, detail=f'{server.address}: no response before the deadline'
             )
         except ChannelError as error:
-            self.health.record_failure(server.instance, self.clock.now(), hard=channel.uses == 1)
+            self.health.record_failure(
+                server.instance, self.clock.now(), hard=channel.request_count == 1
+            )
             if not error.sent:
                 return NotRun(detail=str(error))
             return Lost(cause=LossCause.connection, detail=str(error))
 
     def _track_open_response(
-        self, channel: Channel, context: RequestContext, server: BackendReport
+        self, channel: HttpChannel, context: RequestContext, server: BackendReport
     ) -> None:
         if context.route.affinity:
             open_response = PendingResponse(
@@ -127,16 +129,16 @@
             self.silence.request_sent(server.instance, context.request.attempt_id, open_response)
 
     async def _read_response(
-        self, channel: Channel, context: RequestContext, server: BackendReport
+        self, channel: HttpChannel, context: RequestContext, server: BackendReport
     ) -> TryOutcome:
         for _ in range(_MAX_STRAY_RESPONSES + 1):
-            head = await channel.head()
+            head = await channel.read_head()
             marks = decode_response_metadata(head)
             if marks.attempt_id in {'', context.request.attempt_id}:
                 break
             # A response to an earlier request on this connection.
-            await channel.whole_body()
-            channel.skip_answer()
+            await channel.read_body()
+            channel.skip_response()
         self.silence.data_received(server.instance, marks.attempt_id, self.clock.now(), event=False)
         self.words.record(server.instance, marks)
         if marks.load is not None:
@@ -161,14 +163,14 @@
             )
         return Answered(head=head, marks=marks, channel=channel)
 
-    async def _discard_body(self, channel: Channel) -> None:
+    async def _discard_body(self, channel: HttpChannel) -> None:
         try:
-            await channel.whole_body()
+            await channel.read_body()
         except ChannelError as error:
             logger.debug('connection failed while reading a refusal: %s', error)
             channel.close()
 
-    def _release_channel(self, channel: Channel, outcome: TryOutcome | None) -> None:
+    def _release_channel(self, channel: HttpChannel, outcome: TryOutcome | None) -> None:
         if isinstance(outcome, NotRun):
             self.pool.release(channel)
         else:
--- a/ringseam/gateway/role.py
+++ b/ringseam/gateway/role.py
@@ -33,7 +33,7 @@
 from ringseam.platform.registration import READY_PATH
 from ringseam.retries import WindowRetries
 from ringseam.role import Role
-from ringseam.web.client import ChannelPool
+from ringseam.web.client import HttpChannelPool
 from ringseam.web.server import HttpLimits, HttpServer
 
 if TYPE_CHECKING:
@@ -73,7 +73,7 @@
         self.health = HealthTracker()
         self.lag = EventLoopLag()
         self.silence = SilenceDetector()
-        self.pool = ChannelPool(clock=self.node.clock)
+        self.pool = HttpChannelPool(clock=self.node.clock)
         self.retries = WindowRetries(
             ratio=own['retry_ratio'],
             slack=own['retry_slack'],
@@ -239,10 +239,10 @@
 
     def _apply_changes(self) -> None:
         limits = self.follower.table.limits
-        self.client_server.limits.head_bytes = limits.header_bytes
+        self.client_server.limits.header_bytes = limits.header_bytes
         self.client_server.limits.body_bytes = limits.body_bytes
-        self.client_server.limits.head_s = limits.header_timeout_s
-        self.client_server.limits.idle_s = limits.idle_timeout_s
+        self.client_server.limits.header_timeout_s = limits.header_timeout_s
+        self.client_server.limits.idle_timeout_s = limits.idle_timeout_s
         self.guard.apply_quarantine()
         held = self.follower.quarantine
         self.metrics.put('contents_quarantined', len(held.quarantined))
@@ -255,7 +255,7 @@
     async def _run_cleanup(self) -> None:
         while True:  # noqa: WPS457 - ends with the role
             await asyncio.sleep(_CLEANUP_INTERVAL_S)
-            self.pool.sweep()
+            self.pool.close_expired()
             known = set(self.follower.view.backends)
             self.health.keep_only(known)
             self.placements.keep_only(known)
--- a/ringseam/gateway/stages/calls.py
+++ b/ringseam/gateway/stages/calls.py
@@ -23,7 +23,7 @@
     from ringseam.gateway.stages.jobs import (
         StageCall,
     )
-    from ringseam.web.client import ChannelPool
+    from ringseam.web.client import HttpChannelPool
 
 #: Timeout for opening a connection, seconds.
 _CONNECT_S = 0.4
@@ -38,7 +38,7 @@
 class PieceCalls:
     """Call stage servers over pooled connections."""
 
-    def __init__(self, *, pool: ChannelPool, clock: Clock, words: ServerNotices) -> None:
+    def __init__(self, *, pool: HttpChannelPool, clock: Clock, words: ServerNotices) -> None:
         """Use the connections of ``pool``; ``words`` hears all answers."""
         self.pool = pool
         self.clock = clock
@@ -80,8 +80,8 @@
         channel = await self.pool.acquire(address, timeout_s=_CONNECT_S)
         try:
             await channel.send('POST', path, stage_call_headers(instance), body)
-            head = await channel.head()
-            answer = await channel.whole_body()
+            head = await channel.read_head()
+            answer = await channel.read_body()
         except BaseException:
             channel.close()
             raise
--- a/ringseam/model/engines.py
+++ b/ringseam/model/engines.py
@@ -183,9 +183,9 @@
         self.engine = engine
         self.run = run
         self.first = first
-        self.heard_at: float = 0
+        self.received_at: float = 0
 
-    async def chunk(self) -> bytes | None:
+    async def read_chunk(self) -> bytes | None:
         """Return the next bytes; None at the end.
 
         :raises ChannelError: when the stream breaks off.
@@ -195,7 +195,7 @@
             self.first = b''
         else:
             event = await self.run.events.get()
-        self.heard_at = self.engine.clock.now()
+        self.received_at = self.engine.clock.now()
         if event is None:
             raise ChannelError('reset', sent=True)
         return event or None
--- a/ringseam/platform/zones.py
+++ b/ringseam/platform/zones.py
@@ -5,7 +5,7 @@
 import types
 
 from ringseam.followmessages import ZoneOrder
-from ringseam.util.pathnames import decode_name
+from ringseam.util.pathsegments import decode_segment
 
 _EVACUATE_PATH = '/api/evacuate/'
 #: Whether the zone is drained after a call, by HTTP method.
@@ -30,5 +30,5 @@
     if body:
         raise ValueError('an order for a zone has no body')
     return ZoneOrder(
-        zone=decode_name(path.removeprefix(_EVACUATE_PATH)), drained=_DRAINED_BY_METHOD[method]
+        zone=decode_segment(path.removeprefix(_EVACUATE_PATH)), drained=_DRAINED_BY_METHOD[method]
     )
--- a/ringseam/util/logqueue.py
+++ b/ringseam/util/logqueue.py
@@ -16,7 +16,7 @@
 
 #: Lines that may wait for a slow reader; some seconds of a busy gateway, under
 #: ten megabytes.
-LINES_WAITING = 10_000
+MAX_QUEUED_LINES = 10_000
 _POLL_S = 0.005
 
 
@@ -46,13 +46,13 @@
 class DroppingHandler(QueueHandler):
     """Hand records to a listener; drop and count them while the queue is full."""
 
-    def __init__(self, *, lines: queue.Queue[logging.LogRecord]) -> None:
+    def __init__(self, *, records: queue.Queue[logging.LogRecord]) -> None:
         """Put records into ``lines``."""
-        super().__init__(lines)
+        super().__init__(records)
         self.dropped = 0
-        self.room = lines.maxsize
+        self.capacity = records.maxsize
         #: Called with the number of dropped lines once there is room again.
-        self.tell: Callable[[int], None] = _tell_nobody
+        self.on_dropped: Callable[[int], None] = _ignore_dropped
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
         """Return the record as it is: its line is made by the listener."""
@@ -65,30 +65,30 @@
         except queue.Full:
             self.dropped += 1
             return
-        if self.dropped and self.queue.qsize() <= self.room // 2:
-            amount = self.dropped
+        if self.dropped and self.queue.qsize() <= self.capacity // 2:
+            dropped = self.dropped
             self.dropped = 0
-            self.tell(amount)
+            self.on_dropped(dropped)
 
 
-def queued(
+def start_queue_handler(
     target: logging.Handler,
     *,
-    size: int = LINES_WAITING,
+    size: int = MAX_QUEUED_LINES,
 ) -> tuple[DroppingHandler, QueueListener]:
     """Return a handler that never waits for ``target``, and its started listener."""
-    lines: queue.Queue[logging.LogRecord] = queue.Queue(size)
-    listener = QueueListener(lines, target)
+    records: queue.Queue[logging.LogRecord] = queue.Queue(size)
+    listener = QueueListener(records, target)
     listener.start()
-    return DroppingHandler(lines=lines), listener
+    return DroppingHandler(records=records), listener
 
 
-def drain(handler: DroppingHandler, *, within_s: float) -> None:
+def wait_until_written(handler: DroppingHandler, *, timeout_s: float) -> None:
     """Wait until lines are written, a little at most, before a process ends."""
-    until = boottime() + within_s
-    while not handler.queue.empty() and boottime() < until:
+    deadline = boottime() + timeout_s
+    while not handler.queue.empty() and boottime() < deadline:
         time.sleep(_POLL_S)
 
 
-def _tell_nobody(amount: int) -> None:
+def _ignore_dropped(dropped: int) -> None:
     """Tell nobody, until a process says who shall hear of dropped lines."""
--- a/ringseam/util/tasks.py
+++ b/ringseam/util/tasks.py
@@ -9,7 +9,7 @@
 logger = logging.getLogger(__name__)
 
 
-async def cancelled(task: asyncio.Future[Any]) -> None:
+async def cancel_and_wait(task: asyncio.Future[Any]) -> None:
     """Cancel a task and return when it has ended, however it did."""
     task.cancel()
     await asyncio.wait({task})
@@ -26,9 +26,9 @@
         """Run ``coroutine`` in the background."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._end)
+        task.add_done_callback(self._on_done)
 
-    def _end(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.error('background task broke', exc_info=task.exception())
--- a/ringseam/web/bodies.py
+++ b/ringseam/web/bodies.py
@@ -8,7 +8,7 @@
 Headers = list[tuple[str, str]]
 
 #: Headers that concern one connection only (RFC 9110, 7.6.1).
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'keep-alive',
@@ -34,7 +34,7 @@
     return ''
 
 
-def end_to_end(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers that may be passed on."""
     named = {
         token.strip().lower()
@@ -45,7 +45,7 @@
     return [
         (name, text)
         for name, text in headers
-        if name.lower() not in HOP_BY_HOP and name.lower() not in named
+        if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() not in named
     ]
 
 
@@ -62,28 +62,28 @@
 
     def __init__(self) -> None:
         """Begin with nothing."""
-        self.rest = b''
+        self.remainder = b''
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
         """Return the events that ``chunk`` completes."""
-        self.rest += chunk
+        self.remainder += chunk
         events = []
         start = 0
         position = 0
         while True:  # noqa: WPS457 - ends with the last whole line
-            end = self.rest.find(_LINE_END, position)
+            end = self.remainder.find(_LINE_END, position)
             if end < 0:
                 break
-            line = self.rest[position : end + 1]
+            line = self.remainder[position : end + 1]
             position = end + 1
             if line in _BLANK_LINES:
-                events.append(_event(self.rest[start:position]))
+                events.append(_parse_event(self.remainder[start:position]))
                 start = position
-        self.rest = self.rest[start:]
+        self.remainder = self.remainder[start:]
         return events
 
 
-def _event(raw: bytes) -> StreamEvent:
+def _parse_event(raw: bytes) -> StreamEvent:
     number = None
     for line in raw.splitlines():
         if line.startswith(b'id:'):
--- a/ringseam/web/metricspage.py
+++ b/ringseam/web/metricspage.py
@@ -21,7 +21,7 @@
     def __init__(self, *, metrics: Metrics) -> None:
         """Show what ``metrics`` holds when asked."""
         self.metrics = metrics
-        self.server = HttpServer(handler=self.answer, limits=HttpLimits())
+        self.server = HttpServer(handler=self.handle, limits=HttpLimits())
 
     async def start(self, host: str, port: int) -> int:
         """Listen and return the port that was taken."""
@@ -31,7 +31,7 @@
         """Listen no more."""
         await self.server.close()
 
-    async def answer(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
         if exchange.request.path != METRICS_PATH:
             await exchange.respond(_NOT_FOUND, [])
--- a/ringseam/web/server.py
+++ b/ringseam/web/server.py
@@ -23,30 +23,30 @@
 logger = logging.getLogger(__name__)
 
 #: Bytes of a head that are accepted before a configuration says otherwise.
-DEFAULT_HEAD_BYTES = 16_384
+DEFAULT_MAX_HEADER_BYTES = 16_384
 #: Bytes of a body that are accepted before a configuration says otherwise.
-DEFAULT_BODY_BYTES = 4_194_304
+DEFAULT_MAX_BODY_BYTES = 4_194_304
 #: Bytes that may wait for a slow reader before a sender has to wait.
-_WRITE_BUFFER_BYTES = 262_144
+_MAX_WRITE_BUFFER_BYTES = 262_144
 #: A connection that is closed after an early answer may linger this long, s.
-_LINGER_S = 0.5
+_CLOSE_DELAY_S = 0.5
 #: Connections that may wait to be accepted.
 _BACKLOG = 1024
 _BAD_REQUEST = 400
 _REQUEST_TIMEOUT = 408
 _TOO_LARGE = 413
 _INTERNAL_ERROR = 500
-_NO_BODY_STATUSES = frozenset((204, 304))
+_BODILESS_STATUSES = frozenset((204, 304))
 
 
 @dataclass(kw_only=True)
 class HttpLimits:
     """What a client may send, and how long it may take; seconds and bytes."""
 
-    head_bytes: int = DEFAULT_HEAD_BYTES
-    body_bytes: int = DEFAULT_BODY_BYTES
-    head_s: float = 3
-    idle_s: float = 15
+    header_bytes: int = DEFAULT_MAX_HEADER_BYTES
+    body_bytes: int = DEFAULT_MAX_BODY_BYTES
+    header_timeout_s: float = 3
+    idle_timeout_s: float = 15
 
 
 @dataclass(kw_only=True)
@@ -83,10 +83,10 @@
 
     async def respond(self, status: int, headers: Headers, body: bytes = b'') -> None:
         """Send a whole answer."""
-        framed: Headers = list(headers)
-        if status not in _NO_BODY_STATUSES:
-            framed.append(('Content-Length', str(len(body))))
-        self.start(status, framed)
+        framed_headers: Headers = list(headers)
+        if status not in _BODILESS_STATUSES:
+            framed_headers.append(('Content-Length', str(len(body))))
+        self.start(status, framed_headers)
         if body and self.request.method != 'HEAD':
             await self.send(body)
         await self.finish()
@@ -120,13 +120,13 @@
 
 
 @dataclass(kw_only=True)
-class Incoming:
+class PartialRequest:
     """The request that a connection is reading."""
 
     head: h11.Request | None = None
     body: list[bytes] = field(default_factory=list)
     size: int = 0
-    begun: float = 0
+    started: float = 0
 
 
 class HttpConnection(asyncio.Protocol):  # noqa: WPS214, WPS230 - one connection's life
@@ -138,9 +138,9 @@
         self.loop = asyncio.get_running_loop()
         self.parser = h11.Connection(
             h11.SERVER,
-            max_incomplete_event_size=server.limits.head_bytes,
+            max_incomplete_event_size=server.limits.header_bytes,
         )
-        self.incoming = Incoming()
+        self.incoming = PartialRequest()
         self.task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.writable = asyncio.Event()
@@ -152,21 +152,21 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to wait for a request."""
         self.transport = transport  # type: ignore[assignment]
-        self.transport.set_write_buffer_limits(high=_WRITE_BUFFER_BYTES)
+        self.transport.set_write_buffer_limits(high=_MAX_WRITE_BUFFER_BYTES)
         self.server.connections.add(self)
-        self._await_request()
+        self._start_idle_timer()
 
     def data_received(self, chunk: bytes) -> None:
         """Parse what has arrived."""
-        if not self.incoming.begun:
-            self.incoming.begun = boottime()
-            self._set_timer(self.server.limits.head_s, self._on_slow_head)
+        if not self.incoming.started:
+            self.incoming.started = boottime()
+            self._set_timer(self.server.limits.header_timeout_s, self._on_request_timeout)
         try:
             self.parser.receive_data(chunk)
         except h11.RemoteProtocolError as error:
-            self._refuse(error.error_status_hint)
+            self._reject(error.error_status_hint)
             return
-        self.pump()
+        self.process_events()
 
     def eof_received(self) -> None:
         """Treat an end of the client's bytes as the end of its interest."""
@@ -187,14 +187,14 @@
         """Let senders go on."""
         self.writable.set()
 
-    def pump(self) -> None:
+    def process_events(self) -> None:
         """Take in parsed events until more bytes are needed."""
         try:
-            more = self._take(self.parser.next_event())
+            more = self._handle_event(self.parser.next_event())
             while more:
-                more = self._take(self.parser.next_event())
+                more = self._handle_event(self.parser.next_event())
         except h11.RemoteProtocolError as error:
-            self._refuse(error.error_status_hint)
+            self._reject(error.error_status_hint)
 
     # -- what the exchange calls --------------------------------------------
 
@@ -226,29 +226,29 @@
 
     def close_if_idle(self) -> None:
         """Close unless a request is being read or answered."""
-        if self.task is None and not self.incoming.begun:
+        if self.task is None and not self.incoming.started:
             self.close()
 
     # -- reading ------------------------------------------------------------
 
-    def _take(self, event: object) -> bool:
+    def _handle_event(self, event: object) -> bool:
         if isinstance(event, h11.Request):
             self.incoming.head = event
             self._send_continue()
             return True
         if isinstance(event, h11.Data):
-            return self._take_body(bytes(event.data))
+            return self._add_body(bytes(event.data))
         if isinstance(event, h11.EndOfMessage):
             self._start_handler()
         elif isinstance(event, h11.ConnectionClosed):
             self.close()
         return False
 
-    def _take_body(self, chunk: bytes) -> bool:
+    def _add_body(self, chunk: bytes) -> bool:
         self.incoming.body.append(chunk)
         self.incoming.size += len(chunk)
         if self.incoming.size > self.server.limits.body_bytes:
-            self._refuse(_TOO_LARGE)
+            self._reject(_TOO_LARGE)
             return False
         return True
 
@@ -269,7 +269,7 @@
                 for name, text in head.headers.raw_items()
             ],
             body=b''.join(self.incoming.body),
-            arrived=self.incoming.begun or boottime(),
+            arrived=self.incoming.started or boottime(),
         )
         self.task = self.loop.create_task(self._handle(request))
 
@@ -282,19 +282,19 @@
             return
         except Exception:
             logger.exception('request handler broke')
-            await self._answer_broken(exchange)
+            await self._respond_internal_error(exchange)
         finally:
             self.server.active -= 1
             self.task = None
-        self._next(exchange)
+        self._prepare_next_request(exchange)
 
-    async def _answer_broken(self, exchange: Exchange) -> None:
+    async def _respond_internal_error(self, exchange: Exchange) -> None:
         if exchange.started:
             exchange.abort()
         else:
             await exchange.respond(_INTERNAL_ERROR, [])
 
-    def _next(self, exchange: Exchange) -> None:
+    def _prepare_next_request(self, exchange: Exchange) -> None:
         if not exchange.finished:
             exchange.abort()
         if self.transport is None or self.transport.is_closing():
@@ -303,14 +303,14 @@
             self.close()
             return
         self.parser.start_next_cycle()
-        self.incoming = Incoming()
-        self._await_request()
+        self.incoming = PartialRequest()
+        self._start_idle_timer()
         if self.parser.trailing_data[0]:
-            self.incoming.begun = boottime()
-            self._set_timer(self.server.limits.head_s, self._on_slow_head)
-        self.pump()
+            self.incoming.started = boottime()
+            self._set_timer(self.server.limits.header_timeout_s, self._on_request_timeout)
+        self.process_events()
 
-    def _refuse(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         """Answer a request that can't be read, and close."""
         self._clear_timer()
         if self.parser.our_state in {h11.IDLE, h11.SEND_RESPONSE} and self.task is None:
@@ -320,19 +320,19 @@
                 self.send_event(h11.EndOfMessage())
         if self.transport is not None:
             self.transport.pause_reading()
-            self.loop.call_later(_LINGER_S, self.close)
+            self.loop.call_later(_CLOSE_DELAY_S, self.close)
 
     # -- timers -------------------------------------------------------------
 
-    def _await_request(self) -> None:
-        self._set_timer(self.server.limits.idle_s, self.close)
+    def _start_idle_timer(self) -> None:
+        self._set_timer(self.server.limits.idle_timeout_s, self.close)
 
-    def _on_slow_head(self) -> None:
-        self._refuse(_REQUEST_TIMEOUT)
+    def _on_request_timeout(self) -> None:
+        self._reject(_REQUEST_TIMEOUT)
 
-    def _set_timer(self, delay_s: float, call: Callable[[], None]) -> None:
+    def _set_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
         self._clear_timer()
-        self.timer = self.loop.call_later(delay_s, call)
+        self.timer = self.loop.call_later(delay_s, callback)
 
     def _clear_timer(self) -> None:
         if self.timer is not None:
--- a/tests/test_agent/test_agent_orders.py
+++ b/tests/test_agent/test_agent_orders.py
@@ -12,7 +12,7 @@
 from ringseam.control.state import StateMachine, encode_command
 from ringseam.errors import UnreachableError
 from ringseam.standin.backend import Faults, Recorder, ServiceBackend
-from ringseam.util.http import HttpServer
+from ringseam.util.http import WsgiServer
 
 
 class FakeControl:
@@ -35,7 +35,7 @@
         recorder=Recorder(path=''),
         seed=1,
     )
-    server = HttpServer(
+    server = WsgiServer(
         address=('127.0.0.1', 0),
         respond=backend.respond,
         threads=2,
--- a/tests/test_agent/test_agent_serverstatus.py
+++ b/tests/test_agent/test_agent_serverstatus.py
@@ -27,7 +27,7 @@
 from ringseam.config import Configuration, read_part
 from ringseam.messages import RefusalReason, StageDone, StageFailed, StageNotRun, Ticket
 from ringseam.node import Node
-from ringseam.util.actors import Ask
+from ringseam.util.actors import ActorRequest
 from tests.conftest import PART_FILE
 from tests.test_agent.test_agent_execution import dispatch
 
@@ -189,7 +189,7 @@
     submitted = msgspec.structs.replace(
         DISPATCH, request_id=request, ticket=Ticket(incarnation='i', sequence=0)
     )
-    actor.tell(Ask(body=SubmitDispatch(dispatch=submitted, revision=5), reply_to=waiter))
+    actor.tell(ActorRequest(body=SubmitDispatch(dispatch=submitted, revision=5), reply_to=waiter))
     return waiter
 
 
@@ -206,7 +206,7 @@
 
 def test_drain_lets_queued_work_end_and_refuses_new(actor):
     first, second, idle = submit(actor, 'r1'), submit(actor, 'r2'), ReplyWaiter()
-    actor.tell(Ask(body=Drain(), reply_to=idle))
+    actor.tell(ActorRequest(body=Drain(), reply_to=idle))
     refused = submit(actor, 'r3').get()
     assert refused.reply.reason is RefusalReason.draining
     assert refused.state.draining
--- a/tests/test_gateway/test_requests/test_requests_relay.py
+++ b/tests/test_gateway/test_requests/test_requests_relay.py
@@ -39,13 +39,13 @@
 
     chunks: list
     ends: bool
-    heard_at: float = 0
+    received_at: float = 0
     remaining: list = field(init=False)
 
     def __post_init__(self):
         self.remaining = list(self.chunks)
 
-    async def chunk(self):
+    async def read_chunk(self):
         if self.remaining:
             return self.remaining.pop(0)
         if self.ends:
--- a/tests/test_platform/test_platform_requests.py
+++ b/tests/test_platform/test_platform_requests.py
@@ -27,7 +27,7 @@
     encode_piece_requests,
     server_address_of,
 )
-from ringseam.web.bodies import end_to_end, find_header
+from ringseam.web.bodies import end_to_end_headers, find_header
 from ringseam.web.client import ResponseHead
 from ringseam.web.server import Request
 
@@ -100,7 +100,7 @@
 def test_reserved_headers_of_clients_are_not_forwarded(name, change_case, times):
     forged = [(change_case(name), 'forged')] * times
     sent = encode_call_headers(
-        end_to_end([*HEADERS, *forged]),
+        end_to_end_headers([*HEADERS, *forged]),
         CallHeaders(instance='i-1', time_left_s=1, account='t', urgency=2, inputs=('h1',)),
     )
     assert 'forged' not in [text for _, text in sent]
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize('name', ['Tenant', 'Expect-Instance', 'Inputs', 'Deadline-Ms'])
 def test_connection_header_of_a_client_removes_no_system_header(name):
     sent = encode_call_headers(
-        end_to_end([*HEADERS, ('Connection', name)]),
+        end_to_end_headers([*HEADERS, ('Connection', name)]),
         CallHeaders(instance='i-1', time_left_s=1, account='t', inputs=('h1',)),
     )
     assert find_header(sent, name) in {'t', 'i-1', 'h1', '1000'}
--- a/tests/test_system/test_system_crashing.py
+++ b/tests/test_system/test_system_crashing.py
@@ -33,7 +33,7 @@
 from ringseam.routes import ServiceName
 from ringseam.settings import read_settings
 from ringseam.standin.direct import DirectServer
-from ringseam.web.client import ChannelError, ChannelPool
+from ringseam.web.client import ChannelError, HttpChannelPool
 from ringseam.web.server import HttpLimits, HttpServer
 
 SERVICE = 'writers'
@@ -153,7 +153,7 @@
             )
             for number in range(SERVERS)
         ]
-        self.pool = ChannelPool(clock=RuntimeClock())
+        self.pool = HttpChannelPool(clock=RuntimeClock())
         self.numbers = itertools.count(1)
 
     async def __aenter__(self):
@@ -206,8 +206,8 @@
             return 0
         try:
             await channel.send(method, path, [('Host', HOST), *headers], body)
-            head = await channel.head()
-            await channel.whole_body()
+            head = await channel.read_head()
+            await channel.read_body()
         except ChannelError:
             return 0
         finally:
--- a/tests/test_util/test_util_logqueue.py
+++ b/tests/test_util/test_util_logqueue.py
@@ -8,9 +8,9 @@
 import sys
 import time
 
-from ringseam.util.logqueue import DescriptorHandler, drain, queued
+from ringseam.util.logqueue import DescriptorHandler, start_queue_handler, wait_until_written
 
-FLOOD = """
+LOG_FLOOD = """
 import logging
 from ringseam.events import configure_logging
 configure_logging(level='INFO')
@@ -20,10 +20,10 @@
 
 
 def test_lines_that_do_not_fit_are_dropped_and_counted():
-    handler, listener = queued(logging.NullHandler(), size=4)
+    handler, listener = start_queue_handler(logging.NullHandler(), size=4)
     listener.stop()
-    told = []
-    handler.tell = told.append
+    reported = []
+    handler.on_dropped = reported.append
     logger = logging.Logger('test')
     logger.addHandler(handler)
     for _ in range(10):
@@ -32,29 +32,29 @@
     for _ in range(3):
         handler.queue.get_nowait()
     logger.warning('again')
-    assert told == [6]
+    assert reported == [6]
 
 
-def test_process_whose_reader_stopped_goes_on_and_ends():
+def test_process_with_stopped_reader_runs_and_exits():
     """Seen: the lock of a blocked handler kept a process from ending."""
-    begun = time.monotonic()
-    process = subprocess.Popen([sys.executable, '-c', FLOOD], stdout=subprocess.PIPE)
+    started = time.monotonic()
+    process = subprocess.Popen([sys.executable, '-c', LOG_FLOOD], stdout=subprocess.PIPE)
     try:
         assert process.wait(20) == 0
     finally:
         process.kill()
         process.stdout.close()
-    assert time.monotonic() - begun < 20
+    assert time.monotonic() - started < 20
 
 
 def test_lines_are_written_whole_and_in_order():
     reader, writer = os.pipe()
-    handler, listener = queued(DescriptorHandler(descriptor=writer))
+    handler, listener = start_queue_handler(DescriptorHandler(descriptor=writer))
     logger = logging.Logger('test')
     logger.addHandler(handler)
     for number in range(100):
         logger.warning('line %d', number)
-    drain(handler, within_s=2)
+    wait_until_written(handler, timeout_s=2)
     listener.stop()
     os.close(writer)
     with os.fdopen(reader) as stream:
--- a/tests/test_web/test_web_bodies.py
+++ b/tests/test_web/test_web_bodies.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringseam.web.bodies import EventSplitter, end_to_end, find_header
+from ringseam.web.bodies import EventSplitter, end_to_end_headers, find_header
 
 EVENTS = [b'id: %d\ndata: x%s\n\n' % (number, b'y' * (number % 7)) for number in range(12)]
 
@@ -20,13 +20,13 @@
         body = body[size:]
     assert [event.raw for event in found] == EVENTS
     assert [event.number for event in found] == list(range(12))
-    assert splitter.rest == b''
+    assert splitter.remainder == b''
 
 
-def test_event_that_is_cut_stays_in_the_rest():
+def test_incomplete_event_stays_in_the_remainder():
     splitter = EventSplitter()
     assert splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda')[0].number == 1
-    assert splitter.rest == b'id: 2\nda'
+    assert splitter.remainder == b'id: 2\nda'
 
 
 def test_event_without_a_readable_id_has_no_number():
@@ -35,7 +35,7 @@
     assert [event.number for event in found] == [None, None]
 
 
-def test_headers_of_one_connection_stay_there():
+def test_hop_by_hop_headers_are_removed():
     headers = [
         ('Connection', 'close, X-Hop'),
         ('X-Hop', '1'),
@@ -43,6 +43,6 @@
         ('Transfer-Encoding', 'chunked'),
         ('X-Kept', '2'),
     ]
-    assert end_to_end(headers) == [('X-Kept', '2')]
+    assert end_to_end_headers(headers) == [('X-Kept', '2')]
     assert find_header(headers, 'x-kept') == '2'
     assert find_header(headers, 'absent') == ''
--- a/tests/test_web/test_web_server.py
+++ b/tests/test_web/test_web_server.py
@@ -9,7 +9,7 @@
 
 from ringseam.web.server import HttpLimits, HttpServer
 
-LIMITS = HttpLimits(head_bytes=2000, body_bytes=1000, head_s=0.2, idle_s=0.4)
+LIMITS = HttpLimits(header_bytes=2000, body_bytes=1000, header_timeout_s=0.2, idle_timeout_s=0.4)
 
 
 async def serve(handler, check):
@@ -91,7 +91,7 @@
     asyncio.run(serve(echo, check))
 
 
-def test_idle_connection_is_closed_and_counts_for_nothing():
+def test_idle_connection_is_closed_and_removed():
     async def check(port, server):
         assert await send(port) == b''
         assert not server.connections
@@ -99,7 +99,7 @@
     asyncio.run(serve(echo, check))
 
 
-def test_client_that_closes_cancels_its_handler():
+def test_closed_connection_cancels_the_handler():
     async def check(port, server):
         _, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(b'GET / HTTP/1.1\r\nHost: h\r\n\r\n')
@@ -121,7 +121,7 @@
     asyncio.run(serve(slow, check))
 
 
-def test_handler_that_breaks_is_a_500():
+def test_failing_handler_is_answered_with_500():
     async def broken(exchange):
         raise ValueError('oops')
 
@@ -132,7 +132,7 @@
     asyncio.run(serve(broken, check))
 
 
-def test_closing_server_says_so():
+def test_closing_server_sends_connection_close():
     async def check(port, server):
         server.closing = True
         raw = await send(port, b'GET / HTTP/1.1\r\nHost: h\r\n\r\n')
