--- a/ringseam/util/jsonbody.py
+++ b/ringseam/util/jsonbody.py
@@ -1,4 +1,4 @@
-"""JSON bodies of calls, decoded into typed messages and encoded."""
+"""Decoding of JSON request bodies into typed messages, and encoding of replies."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def decode_strictly(body: bytes, message_type: type[_Message]) -> _Message:
-    """Return a message whose every field has its type and stands once.
+    """Decode a JSON body; wrong field types and duplicate fields are errors.
 
-    :raises ValueError: when the body can't be read as that.
+    :raises ValueError: if the body is not a valid message of this type.
     """
     try:
         return msgspec.convert(
@@ -26,7 +26,7 @@
 
 
 def encode_json(body: Any) -> bytes:
-    """Return the JSON of a reply."""
+    """Encode a reply as JSON."""
     return msgspec.json.encode(body)
 
 
--- a/ringseam/util/logqueue.py
+++ b/ringseam/util/logqueue.py
@@ -1,4 +1,4 @@
-"""Log lines through a bounded queue, so that no reader ever blocks a process."""
+"""Logging through a bounded queue, so that a slow reader never blocks the process."""
 
 from __future__ import annotations
 
@@ -14,52 +14,52 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Lines that may wait for a slow reader; some seconds of a busy gateway, under
-#: ten megabytes.
+#: Maximum number of queued log lines: a few seconds of output of a busy gateway, less than
+#: 10 MB.
 MAX_QUEUED_LINES = 10_000
 _POLL_S = 0.005
 
 
 class DescriptorHandler(logging.Handler):
-    """Write lines to a file descriptor, without a buffer that exit must flush."""
+    """Write lines to a file descriptor without a buffer, so that exit has nothing to flush."""
 
     def __init__(self, *, descriptor: int) -> None:
-        """Write to ``descriptor``."""
+        """Create a handler that writes to ``descriptor``."""
         super().__init__()
         self.descriptor = descriptor
 
     def createLock(self) -> None:
-        """Take no lock: one thread writes, and at exit nobody may wait for it."""
+        """Use no lock: only one thread writes, and exit must not wait for a blocked write."""
         self.lock = None
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, waiting for its reader."""
+        """Write one line; block while the reader is slow."""
         line = memoryview(f'{self.format(record)}\n'.encode())
         while line:
             try:
                 line = line[os.write(self.descriptor, line) :]
             except OSError:
-                # Nobody reads any more; there is nowhere left to say so.
+                # The reader has closed its end, so the error can not be logged either.
                 return
 
 
 class DroppingHandler(QueueHandler):
-    """Hand records to a listener; drop and count them while the queue is full."""
+    """Queue records for a listener; drop and count them while the queue is full."""
 
     def __init__(self, *, records: queue.Queue[logging.LogRecord]) -> None:
-        """Put records into ``lines``."""
+        """Create a handler that puts records into ``records``."""
         super().__init__(records)
         self.dropped = 0
         self.capacity = records.maxsize
-        #: Called with the number of dropped lines once there is room again.
+        #: Called with the number of dropped records once the queue is at most half full.
         self.on_dropped: Callable[[int], None] = _ignore_dropped
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Return the record as it is: its line is made by the listener."""
+        """Return the record unchanged; the listener formats it."""
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Put a record into the queue without waiting."""
+        """Add a record to the queue, or drop it if the queue is full."""
         try:
             self.queue.put_nowait(record)
         except queue.Full:
@@ -76,7 +76,7 @@
     *,
     size: int = MAX_QUEUED_LINES,
 ) -> tuple[DroppingHandler, QueueListener]:
-    """Return a handler that never waits for ``target``, and its started listener."""
+    """Return a handler that never blocks on ``target``, and its running listener."""
     records: queue.Queue[logging.LogRecord] = queue.Queue(size)
     listener = QueueListener(records, target)
     listener.start()
@@ -84,11 +84,11 @@
 
 
 def wait_until_written(handler: DroppingHandler, *, timeout_s: float) -> None:
-    """Wait until lines are written, a little at most, before a process ends."""
+    """Wait until the queue is empty, at most ``timeout_s``, before the process exits."""
     deadline = boottime() + timeout_s
     while not handler.queue.empty() and boottime() < deadline:
         time.sleep(_POLL_S)
 
 
 def _ignore_dropped(dropped: int) -> None:
-    """Tell nobody, until a process says who shall hear of dropped lines."""
+    """Do nothing; the default of ``on_dropped``."""
--- a/ringseam/util/pathsegments.py
+++ b/ringseam/util/pathsegments.py
@@ -1,20 +1,20 @@
-"""Names in the paths of calls."""
+"""Decoding of names in URL paths."""
 
 from __future__ import annotations
 
 import re
 from urllib.parse import unquote
 
-#: A percent sign that begins no escape.
+#: A percent sign that does not start a valid escape.
 _BAD_ESCAPE = re.compile('%(?![0-9A-Fa-f]{2})')
-#: A longer name is a fault of its sender, in characters.
+#: Maximum length of an encoded name; longer ones are rejected.
 _MAX_CHARACTERS = 255
 
 
 def decode_segment(text: str) -> str:
-    """Return the name that a path ends with, without escapes.
+    """Decode the percent-encoded last segment of a path.
 
-    :raises ValueError: when it is none.
+    :raises ValueError: if it is not a valid name.
     """
     if not text:
         raise ValueError('no name')
--- a/ringseam/util/tasks.py
+++ b/ringseam/util/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that nobody waits for, held until they end."""
+"""Cancellation of tasks, and background tasks that are not awaited."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 
 
 async def cancel_and_wait(task: asyncio.Future[Any]) -> None:
-    """Cancel a task and return when it has ended, however it did."""
+    """Cancel a task and wait until it has ended; its result or exception is ignored."""
     task.cancel()
     await asyncio.wait({task})
 
 
 class TaskSet:
-    """Start tasks, keep them from being collected, and log those that break."""
+    """Start background tasks, hold references to them until they end, and log failures.
+
+    The event loop holds weak references only, so an unreferenced task may be garbage-collected.
+    """
 
     def __init__(self) -> None:
-        """Begin without tasks."""
+        """Create an empty set."""
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, coroutine: asyncio._CoroutineLike[Any]) -> None:
@@ -31,4 +34,4 @@
     def _on_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            logger.error('background task broke', exc_info=task.exception())
+            logger.error('background task failed', exc_info=task.exception())
--- a/ringseam/web/__init__.py
+++ b/ringseam/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over the event loop, with h11 as the parser on both sides."""
+"""Asynchronous HTTP/1.1 client and server; both use h11 as the parser."""
--- a/ringseam/web/bodies.py
+++ b/ringseam/web/bodies.py
@@ -1,13 +1,13 @@
-"""Headers as they travel, and events of a text/event-stream body."""
+"""HTTP header lists, and splitting of text/event-stream bodies into events."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-#: Header names with their values, in order, as they were written.
+#: Header names and values in their original order and case.
 Headers = list[tuple[str, str]]
 
-#: Headers that concern one connection only (RFC 9110, 7.6.1).
+#: Headers that apply to a single connection and are not forwarded (RFC 9110, 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
@@ -26,17 +26,17 @@
 
 
 def find_header(headers: Headers, name: str) -> str:
-    """Return the first value of ``name``, or nothing."""
-    wanted = name.lower()
-    for known, text in headers:
-        if known.lower() == wanted:
+    """Return the first value of header ``name``, or an empty string."""
+    lower_name = name.lower()
+    for header, text in headers:
+        if header.lower() == lower_name:
             return text
     return ''
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Return the headers that may be passed on."""
-    named = {
+    """Return the headers that an intermediary may forward."""
+    connection_options = {
         token.strip().lower()
         for name, text in headers
         if name.lower() == 'connection'
@@ -45,32 +45,32 @@
     return [
         (name, text)
         for name, text in headers
-        if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() not in named
+        if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() not in connection_options
     ]
 
 
 @dataclass(frozen=True, kw_only=True)
 class StreamEvent:
-    """One whole event; ``number`` is its id, None when it has none."""
+    """A complete event; ``number`` is its id, or None without a numeric id."""
 
     raw: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Cut the bytes of an event stream into whole events."""
+    """Split the bytes of an event stream into complete events."""
 
     def __init__(self) -> None:
-        """Begin with nothing."""
+        """Create a splitter with an empty remainder."""
         self.remainder = b''
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Return the events that ``chunk`` completes."""
+        """Return the events that are complete with ``chunk``; keep the remainder."""
         self.remainder += chunk
         events = []
         start = 0
         position = 0
-        while True:  # noqa: WPS457 - ends with the last whole line
+        while True:  # noqa: WPS457 - ends after the last complete line
             end = self.remainder.find(_LINE_END, position)
             if end < 0:
                 break
--- a/ringseam/web/client.py
+++ b/ringseam/web/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections to backend servers, kept between requests."""
+"""HTTP/1.1 connections to backend servers, reused between requests."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 logger = logging.getLogger(__name__)
 
-#: Bytes of an answer's head that are accepted.
+#: Maximum size of the status line and headers of a response.
 _MAX_HEAD_BYTES = 65_536
-#: Unacknowledged bytes break a connection after this long, ms (RFC 5482).
+#: Time after which unacknowledged data breaks a connection (TCP user timeout, RFC 5482).
 _USER_TIMEOUT_MS = 2000
-#: Seconds of silence before the kernel probes a peer, and between probes.
+#: Idle time before the first TCP keepalive probe, and interval between probes.
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
-#: A connection is left this long before its server would close it, seconds.
+#: A connection is no longer reused this long before the server would close it.
 _IDLE_MARGIN_S = 0.5
-#: Idle seconds when the server names none; it may close at any time.
+#: Idle timeout if the server announces none, as it may then close at any time.
 _DEFAULT_IDLE_S = 0.4
-#: Longest idle time, so that few connections wait unused, seconds.
+#: Maximum idle timeout, so that few unused connections are kept open.
 _MAX_IDLE_S = 30
 _KEEP_ALIVE_TIMEOUT = re.compile(r'timeout\s*=\s*(\d+)')
 
@@ -41,36 +41,36 @@
 class ChannelError(RingseamError):
     """An exchange with a backend server failed.
 
-    ``sent`` tells whether a byte of the request may have reached the server.
+    ``sent`` is true if any byte of the request may have reached the server.
     """
 
     def __init__(self, detail: str, *, sent: bool) -> None:
-        """Say what happened."""
+        """Store the failure and whether the request may have been received."""
         super().__init__(detail)
         self.sent = sent
 
 
 class RefusedError(ChannelError):
-    """Nobody listens at the address, on a host that runs."""
+    """The host is up but refused the connection: no process listens at the address."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ResponseHead:
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: Headers
 
     def header(self, name: str) -> str:
-        """Return the first value of a header, or nothing."""
+        """Return the first value of a header, or an empty string."""
         return find_header(self.headers, name)
 
 
-class HttpChannel(asyncio.Protocol):  # noqa: WPS214, WPS230 - one connection's life
-    """One connection to a backend server; one request at a time."""
+class HttpChannel(asyncio.Protocol):  # noqa: WPS214, WPS230 - protocol state
+    """A connection to a backend server that carries one request at a time."""
 
     def __init__(self, *, address: str) -> None:
-        """Begin unconnected."""
+        """Create a channel that is not connected yet."""
         self.address = address
         self.transport: asyncio.Transport | None = None
         self.parser = self._new_parser()
@@ -81,13 +81,13 @@
         self.request_count = 0
         self.idle_timeout_s = float('inf')
         self.reusable = True
-        #: When bytes came last, by the loop's clock.
+        #: Time of the last received data, on the clock of the event loop.
         self.received_at: float = 0
 
-    # -- the transport's calls ----------------------------------------------
+    # -- asyncio.Protocol ---------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the socket's options."""
+        """Set the socket options."""
         self.transport = transport  # type: ignore[assignment]
         sock = transport.get_extra_info('socket')
         for level, option, value in _SOCKET_OPTIONS:
@@ -95,40 +95,42 @@
                 sock.setsockopt(level, option, value)
 
     def data_received(self, chunk: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received data."""
         self.received_at = asyncio.get_running_loop().time()
         if not self.request_sent:
-            # Bytes that nobody asked for: this connection can't be trusted.
-            self._fail('bytes without a request')
+            # Data without a request: the connection can not be trusted.
+            self._fail('received data without a request')
             self.close()
             return
         self._parse(chunk)
 
     def eof_received(self) -> bool:
-        """Let the parser decide whether the answer is complete."""
+        """Let the parser decide whether the response is complete."""
         self._parse(b'')
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Wake who waits for an answer."""
+        """Wake the task that waits for a response."""
         self.reusable = False
         if error is not None or self.request_sent:
             self._fail(f'connection lost: {error or "closed"}')
 
-    # -- one exchange -------------------------------------------------------
+    # -- request and response -----------------------------------------------
 
     @property
     def is_open(self) -> bool:
-        """Return whether the connection may take another request."""
+        """Return whether the connection can carry another request."""
         return self.reusable and self.transport is not None and not self.transport.is_closing()
 
     async def send(self, method: str, target: str, headers: Headers, body: bytes) -> None:
-        """Send a whole request.
+        """Send a complete request.
 
-        :raises ChannelError: when the connection is closed already.
+        :raises ChannelError: if the connection is already closed.
         """
         if not self.is_open or self.transport is None:
-            raise ChannelError(f'{self.address}: closed before the request', sent=False)
+            raise ChannelError(
+                f'{self.address}: connection closed before the request was sent', sent=False
+            )
         self.request_count += 1
         framed_headers = list(headers)
         if body or method not in {'GET', 'DELETE', 'HEAD'}:
@@ -143,17 +145,17 @@
         self.transport.write(b''.join(part for part in parts if part))
 
     async def read_head(self) -> ResponseHead:
-        """Return the head of the answer.
+        """Return the status and headers of the response.
 
-        :raises ChannelError: when none comes.
+        :raises ChannelError: if none arrives.
         """
         event = await self._next_event()
         while isinstance(event, h11.InformationalResponse):
             event = await self._next_event()
         if not isinstance(event, h11.Response):
-            raise ChannelError(f'{self.address}: no answer', sent=True)
+            raise ChannelError(f'{self.address}: no response', sent=True)
         if self.transport is not None and self.transport.get_write_buffer_size():
-            # Answered before the body was read: the rest of it is still due.
+            # The response came before the request was fully sent; its rest would still follow.
             self.reusable = False
         headers = [
             (name.decode('latin-1'), text.decode('latin-1'))
@@ -164,21 +166,21 @@
         return head
 
     async def read_chunk(self) -> bytes | None:
-        """Return the next bytes of the body; None at its end.
+        """Return the next chunk of the body, or None at its end.
 
-        :raises ChannelError: when the answer breaks off.
+        :raises ChannelError: if the response is incomplete.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise ChannelError(f'{self.address}: answer broke off', sent=True)
+        raise ChannelError(f'{self.address}: incomplete response', sent=True)
 
     async def read_body(self) -> bytes:
-        """Return the rest of the body.
+        """Read the rest of the body.
 
-        :raises ChannelError: when the answer breaks off.
+        :raises ChannelError: if the response is incomplete.
         """
         parts = []
         chunk = await self.read_chunk()
@@ -188,7 +190,7 @@
         return b''.join(parts)
 
     def skip_response(self) -> None:
-        """Read on for another answer: the one that came was for other work."""
+        """Discard a response that belongs to another request and parse the next one."""
         unparsed = self.parser.trailing_data[0]
         request = h11.Request(method='GET', target='/', headers=[('Host', 'x')])
         self.reusable = False
@@ -199,13 +201,13 @@
         self._parse(bytes(unparsed), allow_empty=False)
 
     def close(self) -> None:
-        """Close at once; the server drops what it was doing."""
+        """Abort the connection, so that the server cancels the request."""
         self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
     def prepare_next_request(self) -> bool:
-        """Prepare for the next request; False when that can't be."""
+        """Prepare for the next request; return False if the connection can not be reused."""
         done = self.parser.our_state is h11.DONE and self.parser.their_state is h11.DONE
         if not (self.is_open and done) or self.parser.trailing_data[0] or self.events:
             return False
@@ -223,7 +225,7 @@
             self.parser.receive_data(chunk)
             self._queue_events()
         except h11.RemoteProtocolError as error:
-            self._fail(f'not an answer: {error}')
+            self._fail(f'invalid response: {error}')
             self.close()
 
     def _queue_events(self) -> None:
@@ -275,39 +277,39 @@
 
 @dataclass(kw_only=True)
 class IdleChannel:
-    """An idle connection and until when it may be used."""
+    """An idle connection and the time until which it may be reused."""
 
     channel: HttpChannel
     expires_at: float
 
 
 class HttpChannelPool:
-    """Idle connections by address."""
+    """A pool of idle connections by address."""
 
     def __init__(self, *, clock: Clock) -> None:
-        """Begin empty."""
+        """Create an empty pool."""
         self.clock = clock
         self.idle: dict[str, list[IdleChannel]] = {}
         self.opened = 0
 
     async def acquire(self, address: str, *, timeout_s: float) -> HttpChannel:
-        """Return an idle connection, or a new one.
+        """Return an idle connection or open a new one.
 
-        :raises ChannelError: when none can be made in time.
+        :raises ChannelError: if none can be opened in time.
         """
         now = self.clock.now()
-        parked = self.idle.get(address, [])
-        while parked:
-            candidate = parked.pop()
+        idle_channels = self.idle.get(address, [])
+        while idle_channels:
+            candidate = idle_channels.pop()
             if candidate.expires_at > now and candidate.channel.is_open:
                 return candidate.channel
             candidate.channel.close()
         return await self.connect(address, timeout_s=timeout_s)
 
     async def connect(self, address: str, *, timeout_s: float) -> HttpChannel:
-        """Return a new connection.
+        """Open a new connection.
 
-        :raises ChannelError: when it can't be made in time.
+        :raises ChannelError: if it can not be opened in time.
         """
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
@@ -326,7 +328,7 @@
         return channel
 
     def release(self, channel: HttpChannel) -> None:
-        """Keep a connection whose answer was read whole, or close it."""
+        """Return a connection to the pool if its response was read completely, else close it."""
         if not channel.prepare_next_request():
             channel.close()
             return
@@ -337,17 +339,19 @@
 
     def close_idle(self, address: str) -> None:
         """Close the idle connections to an address."""
-        for parked in self.idle.pop(address, []):
-            parked.channel.close()
+        for idle_channel in self.idle.pop(address, []):
+            idle_channel.channel.close()
 
     def close_expired(self) -> None:
-        """Close idle connections whose time is over."""
+        """Close idle connections that have expired."""
         now = self.clock.now()
-        for address, parked in list(self.idle.items()):
-            kept = [one for one in parked if one.expires_at > now and one.channel.is_open]
-            for one in parked:
-                if one not in kept:
-                    one.channel.close()
+        for address, idle_channels in list(self.idle.items()):
+            kept = [
+                idle for idle in idle_channels if idle.expires_at > now and idle.channel.is_open
+            ]
+            for idle_channel in idle_channels:
+                if idle_channel not in kept:
+                    idle_channel.channel.close()
             self.idle[address] = kept
             if not kept:
                 self.idle.pop(address)
--- a/ringseam/web/metricspage.py
+++ b/ringseam/web/metricspage.py
@@ -1,4 +1,4 @@
-"""The page of a process's metrics, on a port of its own."""
+"""HTTP server for the metrics of a process."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 
 class MetricsPage:
-    """Serve counters and histograms as text."""
+    """Serve counters and histograms in the Prometheus text format."""
 
     def __init__(self, *, metrics: Metrics) -> None:
-        """Show what ``metrics`` holds when asked."""
+        """Create a page that renders ``metrics`` on each request."""
         self.metrics = metrics
         self.server = HttpServer(handler=self.handle, limits=HttpLimits())
 
     async def start(self, host: str, port: int) -> int:
-        """Listen and return the port that was taken."""
+        """Start to listen and return the bound port."""
         return await self.server.start(host, port)
 
     async def close(self) -> None:
-        """Listen no more."""
+        """Stop the server."""
         await self.server.close()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if exchange.request.path != METRICS_PATH:
             await exchange.respond(_NOT_FOUND, [])
             return
--- a/ringseam/web/server.py
+++ b/ringseam/web/server.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 server on the event loop: whole requests in, whole answers out.
+"""An asynchronous HTTP/1.1 server.
 
-A request's body is read whole before its handler starts. When a client closes
-its connection, the handler's task is cancelled at once.
+The body of a request is read completely before its handler starts. When a
+client closes its connection, the task of the handler is cancelled immediately.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 logger = logging.getLogger(__name__)
 
-#: Bytes of a head that are accepted before a configuration says otherwise.
+#: Default maximum size of the request line and headers.
 DEFAULT_MAX_HEADER_BYTES = 16_384
-#: Bytes of a body that are accepted before a configuration says otherwise.
+#: Default maximum size of a request body.
 DEFAULT_MAX_BODY_BYTES = 4_194_304
-#: Bytes that may wait for a slow reader before a sender has to wait.
+#: Buffered response bytes above which senders wait for a slow client.
 _MAX_WRITE_BUFFER_BYTES = 262_144
-#: A connection that is closed after an early answer may linger this long, s.
+#: Delay before a connection is closed after an early error response.
 _CLOSE_DELAY_S = 0.5
-#: Connections that may wait to be accepted.
+#: Maximum number of connections waiting to be accepted.
 _BACKLOG = 1024
 _BAD_REQUEST = 400
 _REQUEST_TIMEOUT = 408
@@ -41,7 +41,11 @@
 
 @dataclass(kw_only=True)
 class HttpLimits:
-    """What a client may send, and how long it may take; seconds and bytes."""
+    """Limits for client connections.
+
+    ``header_timeout_s`` runs from the first byte of a request until it is received
+    completely, including its body.
+    """
 
     header_bytes: int = DEFAULT_MAX_HEADER_BYTES
     body_bytes: int = DEFAULT_MAX_BODY_BYTES
@@ -51,7 +55,7 @@
 
 @dataclass(kw_only=True)
 class Request:
-    """One whole request; ``target`` is the path with its query."""
+    """A complete request; ``target`` is the path with the query string."""
 
     method: str
     target: str
@@ -61,28 +65,28 @@
 
     @property
     def path(self) -> str:
-        """Return the target without its query."""
+        """Return the target without the query string."""
         return self.target.partition('?')[0]
 
     def header(self, name: str) -> str:
-        """Return the first value of a header, or nothing."""
+        """Return the first value of a header, or an empty string."""
         return find_header(self.headers, name)
 
 
 class Exchange:
-    """A request and the way to answer it once."""
+    """A request and its single response."""
 
     def __init__(self, *, request: Request, connection: HttpConnection) -> None:
-        """Answer ``request`` on ``connection``."""
+        """Create an exchange that responds to ``request`` on ``connection``."""
         self.request = request
         self.connection = connection
         self.started = False
         self.finished = False
-        #: The status that was sent; 0 while there is none.
+        #: Status of the response; 0 until it has started.
         self.status = 0
 
     async def respond(self, status: int, headers: Headers, body: bytes = b'') -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         framed_headers: Headers = list(headers)
         if status not in _BODILESS_STATUSES:
             framed_headers.append(('Content-Length', str(len(body))))
@@ -92,36 +96,36 @@
         await self.finish()
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head; without a length the body goes in chunks."""
+        """Send status and headers; the body is chunked if they contain no Content-Length."""
         self.started = True
         self.status = status
         self.connection.send_head(status, headers)
 
     async def send(self, chunk: bytes) -> None:
-        """Send a part of the body, waiting while the client is slow."""
+        """Send a part of the body; wait while the write buffer is full."""
         self.connection.send_event(h11.Data(data=chunk))
         await self.connection.writable.wait()
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """Complete the response."""
         self.finished = True
         self.connection.send_event(h11.EndOfMessage())
         await self.connection.writable.wait()
 
     def abort(self) -> None:
-        """Break the connection, so that the answer can't look complete."""
+        """Abort the connection, so that the client can not take the response as complete."""
         self.finished = True
         self.connection.abort()
 
 
 if TYPE_CHECKING:
-    #: Answers one exchange.
+    #: Responds to one exchange.
     Handler = Callable[[Exchange], Awaitable[None]]
 
 
 @dataclass(kw_only=True)
 class PartialRequest:
-    """The request that a connection is reading."""
+    """The request that a connection is receiving; ``started`` is 0 before the first byte."""
 
     head: h11.Request | None = None
     body: list[bytes] = field(default_factory=list)
@@ -129,11 +133,11 @@
     started: float = 0
 
 
-class HttpConnection(asyncio.Protocol):  # noqa: WPS214, WPS230 - one connection's life
-    """One client's connection."""
+class HttpConnection(asyncio.Protocol):  # noqa: WPS214, WPS230 - protocol state
+    """A connection from a client."""
 
     def __init__(self, *, server: HttpServer) -> None:
-        """Serve with the handler and limits of ``server``."""
+        """Create a connection with the handler and limits of ``server``."""
         self.server = server
         self.loop = asyncio.get_running_loop()
         self.parser = h11.Connection(
@@ -147,17 +151,17 @@
         self.writable.set()
         self.transport: asyncio.Transport | None = None
 
-    # -- the transport's calls ----------------------------------------------
+    # -- asyncio.Protocol ---------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for a request."""
+        """Register the connection and wait for a request."""
         self.transport = transport  # type: ignore[assignment]
         self.transport.set_write_buffer_limits(high=_MAX_WRITE_BUFFER_BYTES)
         self.server.connections.add(self)
         self._start_idle_timer()
 
     def data_received(self, chunk: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received data."""
         if not self.incoming.started:
             self.incoming.started = boottime()
             self._set_timer(self.server.limits.header_timeout_s, self._on_request_timeout)
@@ -169,10 +173,10 @@
         self.process_events()
 
     def eof_received(self) -> None:
-        """Treat an end of the client's bytes as the end of its interest."""
+        """Return None, so that the transport closes: the client no longer needs a response."""
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel the handler: nobody waits for its answer any more."""
+        """Cancel the handler, as its response can no longer be sent."""
         self._clear_timer()
         self.server.connections.discard(self)
         self.writable.set()
@@ -180,15 +184,15 @@
             self.task.cancel()
 
     def pause_writing(self) -> None:
-        """Make senders wait."""
+        """Make senders wait until the write buffer has drained."""
         self.writable.clear()
 
     def resume_writing(self) -> None:
-        """Let senders go on."""
+        """Let senders continue."""
         self.writable.set()
 
     def process_events(self) -> None:
-        """Take in parsed events until more bytes are needed."""
+        """Handle parsed events until more data is needed."""
         try:
             more = self._handle_event(self.parser.next_event())
             while more:
@@ -196,16 +200,16 @@
         except h11.RemoteProtocolError as error:
             self._reject(error.error_status_hint)
 
-    # -- what the exchange calls --------------------------------------------
+    # -- sending ------------------------------------------------------------
 
     def send_head(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer."""
+        """Send the status and headers of a response."""
         if self.server.closing:
             headers = [*headers, ('Connection', 'close')]
         self.send_event(h11.Response(status_code=status, headers=headers))
 
     def send_event(self, event: h11.Event) -> None:
-        """Write one event of an answer."""
+        """Write one event of a response, unless the connection is closing."""
         if self.transport is None or self.transport.is_closing():
             return
         encoded = self.parser.send(event)
@@ -213,23 +217,23 @@
             self.transport.write(encoded)
 
     def close(self) -> None:
-        """Close after what was written."""
+        """Close the connection once buffered data is written."""
         self._clear_timer()
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Close the connection immediately; buffered data is lost."""
         self._clear_timer()
         if self.transport is not None:
             self.transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close unless a request is being read or answered."""
+        """Close the connection unless a request is being received or handled."""
         if self.task is None and not self.incoming.started:
             self.close()
 
-    # -- reading ------------------------------------------------------------
+    # -- receiving ----------------------------------------------------------
 
     def _handle_event(self, event: object) -> bool:
         if isinstance(event, h11.Request):
@@ -281,7 +285,7 @@
         except asyncio.CancelledError:
             return
         except Exception:
-            logger.exception('request handler broke')
+            logger.exception('request handler failed')
             await self._respond_internal_error(exchange)
         finally:
             self.server.active -= 1
@@ -311,7 +315,7 @@
         self.process_events()
 
     def _reject(self, status: int) -> None:
-        """Answer a request that can't be read, and close."""
+        """Respond to an invalid request with an error status, then close the connection."""
         self._clear_timer()
         if self.parser.our_state in {h11.IDLE, h11.SEND_RESPONSE} and self.task is None:
             headers = [('Content-Length', '0'), ('Connection', 'close')]
@@ -341,20 +345,20 @@
 
 
 class HttpServer:
-    """Listen on one address and hand each exchange to a handler."""
+    """An HTTP server that passes each exchange to a handler."""
 
     def __init__(self, *, handler: Handler, limits: HttpLimits) -> None:
-        """Serve with ``handler``; ``limits`` may be changed while serving."""
+        """Create a server; ``limits`` may be changed while it runs."""
         self.handler = handler
         self.limits = limits
         self.connections: set[HttpConnection] = set()
         self.active = 0
-        #: Whether answers tell clients to leave.
+        #: Whether responses ask clients to close the connection.
         self.closing = False
         self.listener: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen and return the port that was taken."""
+        """Start to listen and return the bound port."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
             lambda: HttpConnection(server=self),
@@ -366,17 +370,17 @@
         return self.listener.sockets[0].getsockname()[1]
 
     def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Stop accepting new connections."""
         if self.listener is not None:
             self.listener.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing happens."""
+        """Close the connections without a request in progress."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     async def close(self) -> None:
-        """Close everything."""
+        """Stop listening and close all connections."""
         self.stop_listening()
         for connection in list(self.connections):
             connection.close()
--- a/tests/test_config/test_config_findings.py
+++ b/tests/test_config/test_config_findings.py
@@ -18,14 +18,14 @@
     ('unknown section', '[pols x]\n', 4, 'unknown section; did you mean "pool"?'),
     ('unnamed section', '[pool]\n', 4, 'must be written as [pool NAME]'),
     ('not a number', '[pool x]\nmax_in_flight = many\n', 5, '"many" is not a whole number'),
-    ('out of range', '[pool x]\nmax_in_flight = 0\n', 5, '0 is not within 1 and 4096'),
+    ('out of range', '[pool x]\nmax_in_flight = 0\n', 5, '0 is not between 1 and 4096'),
     ('neither yes nor no', '[pool x]\nechoes_id = maybe\n', 5, 'neither yes nor no'),
     ('bad choice', '[pool x]\nkind = engin\n', 5, 'did you mean "engine"?'),
     ('missing', '[stage s]\npath = /\n', 4, 'missing; this key is required'),
     ('unknown pool', '[stage s]\npool = x\n', 5, '"x" is not in this file'),
     ('short digest', '[account a]\ntoken_sha256 = abc\n', 5, 'is not a SHA-256'),
-    ('duplicate key', '[pool x]\nkind = engine\nkind = service\n', 6, 'stands twice'),
-    ('duplicate section', '[pool x]\n[pool x]\n', 5, 'stands twice'),
+    ('duplicate key', '[pool x]\nkind = engine\nkind = service\n', 6, 'is defined twice'),
+    ('duplicate section', '[pool x]\n[pool x]\n', 5, 'is defined twice'),
     ('line without a key', '[pool x]\nnonsense\n', 5, 'not a section, a key or a comment'),
     (
         'unknown stage',
@@ -79,5 +79,5 @@
     key = tmp_path / 'key'
     key.write_text('k' * 32)
     text = f'[process]\nname = e\nkey_file = {key}\ncontrol = control.example:7001\n[entry]\n'
-    with pytest.raises(FindingsError, match='host names are not taken'):
+    with pytest.raises(FindingsError, match='host names are not supported'):
         read_settings('entry', text, path='x.ini')
--- a/tests/test_gateway/test_following/test_following_guard.py
+++ b/tests/test_gateway/test_following/test_following_guard.py
@@ -297,7 +297,7 @@
         assert status == 200
 
     asyncio.run(run())
-    assert 'background task broke' not in caplog.text
+    assert 'background task failed' not in caplog.text
 
 
 def test_quarantined_content_reaches_no_server_under_any_id(key_file):
--- a/tests/test_util/test_util_http.py
+++ b/tests/test_util/test_util_http.py
@@ -1,4 +1,4 @@
-"""The WSGI frame: bodies, limits and slow senders."""
+"""The WSGI server: request bodies, size limits and read timeouts."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize('head', [b'POST / HT', b'POST / HTTP/1.1\r\nContent-Length: 900\r\n\r\n'])
 def test_slow_sender_is_disconnected(server, head):
-    """A byte now and then must not hold a thread beyond the limit."""
+    """A client that sends single bytes must not occupy a thread beyond the read timeout."""
     started = time.monotonic()
     with socket.create_connection(('127.0.0.1', server.port), timeout=5) as connection:
         connection.sendall(head)
--- a/tests/test_util/test_util_logqueue.py
+++ b/tests/test_util/test_util_logqueue.py
@@ -1,4 +1,4 @@
-"""Log lines never block: a reader that stops, and one that comes back."""
+"""Queued logging: a stopped or slow reader of the log must not block the process."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def test_process_with_stopped_reader_runs_and_exits():
-    """Seen: the lock of a blocked handler kept a process from ending."""
+    """Guards against a handler lock: exit would wait for it while a write is blocked."""
     started = time.monotonic()
     process = subprocess.Popen([sys.executable, '-c', LOG_FLOOD], stdout=subprocess.PIPE)
     try:
--- a/tests/test_web/test_web_bodies.py
+++ b/tests/test_web/test_web_bodies.py
@@ -1,4 +1,4 @@
-"""Events of a stream, whatever the chunks they come in."""
+"""Event streams are split into the same events for any chunking; header helpers."""
 
 from __future__ import annotations
 
--- a/tests/test_web/test_web_server.py
+++ b/tests/test_web/test_web_server.py
@@ -1,4 +1,4 @@
-"""Bad input on a listening port: an error or a closed connection, nothing more."""
+"""The HTTP server: invalid input yields an error response or a closed connection."""
 
 from __future__ import annotations
 
