--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -31,13 +31,13 @@
 def figures_of(summary: Summary) -> dict[str, Any]:
     """Return what is kept of a run."""
     return {
-        'net': summary.net,
-        'worth': summary.worth,
-        'worst windows': summary.worst_windows,
-        'worst route': summary.worst_kind,
+        'net': summary.net_share,
+        'worth': summary.value_share,
+        'worst windows': summary.worst_windows_share,
+        'worst route': summary.worst_route_share,
         'wasted s': summary.wasted_s,
-        'crossed GB': summary.crossed_gb,
-        'earned': summary.earned,
+        'crossed GB': summary.cross_zone_gb,
+        'earned': summary.route_value_shares,
     }
 
 
--- a/ringseam/model/__init__.py
+++ b/ringseam/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model of backend servers in virtual time, driven by the gateway's own policies."""
+"""Simulate load and backend servers in virtual time, with the gateway's real policies."""
--- a/ringseam/model/clients.py
+++ b/ringseam/model/clients.py
@@ -1,4 +1,4 @@
-"""Clients in virtual time: they wait, give up, come back once, and count."""
+"""Simulated clients: they send requests, abandon slow ones and retry once."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ringseam.calls import ClientRequest, PromptPart
-from ringseam.model.engines import ENDING
+from ringseam.model.engines import CRASHING_BODY_PREFIX
 from ringseam.model.pattern import HOST, Amount, EventKind
 from ringseam.platform.requests import (
     decode_request,
@@ -26,240 +26,249 @@
     from ringseam.model.pattern import Pattern, PatternEvent, RouteLoad
     from ringseam.web.bodies import Headers
 
-#: Clients honour a pause of up to this share of the time that they have left.
-_PAUSE_SHARE = 1 / 3
-#: Without an event, clients leave after the longest of these.
-_LEAVE_S = 2.0
-_LEAVE_OBJECTIVES = 4.0
-_LEAVE_PAUSES = 8.0
+#: A client retries if the Retry-After delay is at most this share of its remaining time.
+_MAX_RETRY_AFTER_SHARE = 1 / 3
+#: A client that has received no event abandons its request after the longest of: this
+#: many seconds, this many latency objectives, this many allowed gaps between events.
+_MIN_PATIENCE_S = 2.0
+_PATIENCE_OBJECTIVES = 4.0
+_PATIENCE_GAPS = 8.0
 _OK = 200
 _RETRY_AFTER = retry_after_header(0)[0]
-#: The requests of a clump come within this time.
-_CLUMP_S = 0.3
+#: The requests of a clump are spread over this time, seconds.
+_CLUMP_SPREAD_S = 0.3
 
 
-class End(enum.Enum):
-    """How a request of a client ended."""
+class RequestEnd(enum.Enum):
+    """How a request ended for its client."""
 
-    in_time = 'in time'
+    on_time = 'in time'
     late = 'late'
     refused = 'refused'
     failed = 'failed'
-    left = 'left'
+    abandoned = 'left'
 
 
 @dataclass(kw_only=True)
-class Outcome:
-    """What became of one request, over all tries of its client."""
+class RequestOutcome:
+    """The outcome of one request over all attempts of its client."""
 
     route: str
     sent_at: float
-    worth: float
-    earned: float = 0
-    #: The attempt that was served.
-    served: str = ''
-    end: End = End.failed
-    tries: int = 1
-    #: How long it was kept waiting without being served, seconds.
-    held_s: float = 0
+    value: float
+    earned_value: float = 0
+    #: ID of the attempt that was served; empty if none was.
+    served_attempt: str = ''
+    end: RequestEnd = RequestEnd.failed
+    attempts: int = 1
+    #: Time spent in attempts that were not served, seconds.
+    unserved_wait_s: float = 0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ask:
-    """A request that will be sent: when and what; a seed for its client."""
+class PlannedRequest:
+    """A request to be sent at a given time, and the random seed of its client."""
 
     route: str
-    at: float
+    send_at: float
     request: ClientRequest
-    #: How many events it is answered with.
-    events: int
+    #: Number of events in the response.
+    event_count: int
     seed: float
 
 
 class ModelExchange:
-    """One try of a client, and what came back."""
+    """One attempt of a client, which records the response."""
 
     def __init__(self, *, request: Request, clock: Clock) -> None:
-        """Send ``request``."""
+        """Create the exchange for ``request``."""
         self.request = request
         self.clock = clock
         self.status = 0
         self.headers: Headers = []
-        self.events_at: list[float] = []
+        self.event_times: list[float] = []
         self.finished = False
         self.aborted = False
 
     async def respond(self, status: int, headers: Headers, body: bytes = b'') -> None:
-        """Take a whole answer."""
+        """Record a complete response."""
         self.start(status, headers)
         await self.finish()
 
     def start(self, status: int, headers: Headers) -> None:
-        """Take a head."""
+        """Record the head of the response."""
         self.status = status
         self.headers = headers
 
     async def send(self, chunk: bytes) -> None:
-        """Take an event."""
-        self.events_at.append(self.clock.now())
+        """Record the arrival of an event."""
+        self.event_times.append(self.clock.now())
 
     async def finish(self) -> None:
-        """Take the end."""
+        """Record the end of the response."""
         self.finished = True
 
     def abort(self) -> None:
-        """Take a broken connection."""
+        """Record that the connection was broken off."""
         self.aborted = True
 
     @property
-    def longest_pause(self) -> float:
-        """Return the longest pause between two events, seconds."""
-        pairs = itertools.pairwise(self.events_at)
+    def longest_gap_s(self) -> float:
+        """Return the longest gap between two events, seconds."""
+        pairs = itertools.pairwise(self.event_times)
         return max((later - earlier for earlier, later in pairs), default=0)
 
 
 @dataclass(kw_only=True)
-class Clients:
-    """All clients of a pattern."""
+class LoadGenerator:
+    """Generate the requests of a pattern and record their outcomes."""
 
     pattern: Pattern
     clock: Clock
     gateways: list[ModelGateway]
     seed: int
-    events_of: dict[str, int]
-    outcomes: list[Outcome] = field(default_factory=list)
-    numbers: itertools.count[int] = field(default_factory=itertools.count)
+    event_counts: dict[str, int]
+    outcomes: list[RequestOutcome] = field(default_factory=list)
+    id_numbers: itertools.count[int] = field(default_factory=itertools.count)
 
     async def run(self) -> None:
-        """Send the load of the whole pattern, and wait for all answers."""
-        asks = [ask for name in self.pattern.routes for ask in self._draw_all(name)]
-        insisting = [
-            asyncio.ensure_future(self._insist(event))
+        """Send all requests of the pattern and wait until each has ended."""
+        requests = [
+            planned for name in self.pattern.routes for planned in self._draw_requests(name)
+        ]
+        crashing_clients = [
+            asyncio.ensure_future(self._send_crashing_content(event))
             for event in self.pattern.events
-            if event.kind is EventKind.ending
+            if event.kind is EventKind.crashing_content
         ]
-        await asyncio.gather(*(self._ask(ask) for ask in asks))
-        for task in insisting:
+        await asyncio.gather(*(self._run_client(planned) for planned in requests))
+        for task in crashing_clients:
             task.cancel()
 
-    async def _insist(self, event: PatternEvent) -> None:
-        """Ask again and again for a content that ends engines; it earns nothing."""
-        dice = random.Random(f'{self.seed}/{event.at}')  # noqa: S311 - draws load only
+    async def _send_crashing_content(self, event: PatternEvent) -> None:
+        """Repeatedly request a content that crashes engines; its outcomes aren't counted."""
+        rng = random.Random(f'{self.seed}/{event.at}')  # noqa: S311 - draws load only
         load = self.pattern.routes[event.of]
-        request = self._draw(event.of, load, dice)
-        ask = Ask(route=event.of, at=event.at, request=request, events=1, seed=0)
+        request = self._draw_request(event.of, load, rng)
+        planned = PlannedRequest(
+            route=event.of, send_at=event.at, request=request, event_count=1, seed=0
+        )
         await asyncio.sleep(event.at - self.clock.now())
-        tries: set[asyncio.Task[ModelExchange]] = set()
-        body = ENDING + request.path.encode()
+        attempts: set[asyncio.Task[ModelExchange]] = set()
+        body = CRASHING_BODY_PREFIX + request.path.encode()
         while self.clock.now() < event.at + event.for_s:
-            one = self._try(load, ask, dice, load.timeout_s, body=body)
-            tries.add(asyncio.ensure_future(one))
+            attempt = self._attempt(load, planned, rng, load.timeout_s, body=body)
+            attempts.add(asyncio.ensure_future(attempt))
             await asyncio.sleep(1 / event.factor)
 
-    def _draw_all(self, name: str) -> list[Ask]:
-        """Draw all requests of a route; policies make no difference to them."""
+    def _draw_requests(self, name: str) -> list[PlannedRequest]:
+        """Draw all requests of a route; they depend on the seed and the pattern only."""
         basics = self.pattern.basics
-        dice = random.Random(f'{self.seed}/{name}')  # noqa: S311 - draws load only
+        rng = random.Random(f'{self.seed}/{name}')  # noqa: S311 - draws load only
         load = self.pattern.routes[name]
-        asks: list[Ask] = []
+        requests: list[PlannedRequest] = []
         now: float = 0
         while now < basics.seconds:
-            now += dice.expovariate(self.pattern.rate(name, now) / basics.clump)
+            now += rng.expovariate(self.pattern.rate_at(name, now) / basics.clump)
             count = 1
-            while dice.random() > 1 / basics.clump:
+            while rng.random() > 1 / basics.clump:
                 count += 1
             for _ in range(count):
-                asks.append(
-                    Ask(
+                requests.append(
+                    PlannedRequest(
                         route=name,
-                        at=now + dice.random() * _CLUMP_S,
-                        request=self._draw(name, load, dice),
-                        events=_draw_events(load, dice),
-                        seed=dice.random(),
+                        send_at=now + rng.random() * _CLUMP_SPREAD_S,
+                        request=self._draw_request(name, load, rng),
+                        event_count=_draw_event_count(load, rng),
+                        seed=rng.random(),
                     ),
                 )
-        return asks
+        return requests
 
-    async def _ask(self, ask: Ask) -> None:
-        """Send one request, once more if it is refused or fails."""
-        name = ask.route
-        dice = random.Random(ask.seed)  # noqa: S311 - spreads load only
-        await asyncio.sleep(ask.at - self.clock.now())
+    async def _run_client(self, planned: PlannedRequest) -> None:
+        """Send one request, and retry it once if it is refused or fails."""
+        name = planned.route
+        rng = random.Random(planned.seed)  # noqa: S311 - spreads load only
+        await asyncio.sleep(planned.send_at - self.clock.now())
         load = self.pattern.routes[name]
-        outcome = Outcome(route=name, sent_at=self.clock.now(), worth=load.worth)
+        outcome = RequestOutcome(route=name, sent_at=self.clock.now(), value=load.worth)
         self.outcomes.append(outcome)
         for number in range(2):
-            outcome.tries = number + 1
-            left_s = load.timeout_s - (self.clock.now() - outcome.sent_at)
-            exchange = await self._try(load, ask, dice, left_s)
+            outcome.attempts = number + 1
+            remaining_s = load.timeout_s - (self.clock.now() - outcome.sent_at)
+            exchange = await self._attempt(load, planned, rng, remaining_s)
             if exchange.finished and exchange.status == _OK:
-                self._count(outcome, load, exchange)
+                self._record_response(outcome, load, exchange)
                 return
-            outcome.held_s += self.clock.now() - exchange.request.arrived
-            outcome.end = self._end_of(exchange)
+            outcome.unserved_wait_s += self.clock.now() - exchange.request.arrived
+            outcome.end = self._classify_failure(exchange)
             pause = float(find_header(exchange.headers, _RETRY_AFTER) or 0.1)
-            left_s = load.timeout_s - (self.clock.now() - outcome.sent_at)
-            if outcome.end is not End.refused and not load.resumable:
+            remaining_s = load.timeout_s - (self.clock.now() - outcome.sent_at)
+            if outcome.end is not RequestEnd.refused and not load.resumable:
                 return
-            if pause > left_s * _PAUSE_SHARE:
+            if pause > remaining_s * _MAX_RETRY_AFTER_SHARE:
                 return
             await asyncio.sleep(pause)
 
-    def _end_of(self, exchange: ModelExchange) -> End:
+    def _classify_failure(self, exchange: ModelExchange) -> RequestEnd:
         if exchange.status == 0:
-            return End.left
-        return End.failed if exchange.status == _OK else End.refused
-
-    def _count(self, outcome: Outcome, load: RouteLoad, exchange: ModelExchange) -> None:
-        first_s = exchange.events_at[0] - outcome.sent_at + self.pattern.basics.client_s
-        in_time = first_s <= load.objective_s and exchange.longest_pause <= load.pause_s
-        outcome.end = End.in_time if in_time else End.late
-        outcome.served = decode_request(exchange.request).attempt_id
-        outcome.earned = load.worth if in_time else load.late_worth
-
-    async def _try(
+            return RequestEnd.abandoned
+        return RequestEnd.failed if exchange.status == _OK else RequestEnd.refused
+
+    def _record_response(
+        self, outcome: RequestOutcome, load: RouteLoad, exchange: ModelExchange
+    ) -> None:
+        first_s = exchange.event_times[0] - outcome.sent_at + self.pattern.basics.client_s
+        on_time = first_s <= load.objective_s and exchange.longest_gap_s <= load.pause_s
+        outcome.end = RequestEnd.on_time if on_time else RequestEnd.late
+        outcome.served_attempt = decode_request(exchange.request).attempt_id
+        outcome.earned_value = load.worth if on_time else load.late_worth
+
+    async def _attempt(
         self,
         load: RouteLoad,
-        ask: Ask,
-        dice: random.Random,
-        left_s: float,
+        planned: PlannedRequest,
+        rng: random.Random,
+        remaining_s: float,
         *,
         body: bytes = b'',
     ) -> ModelExchange:
-        """Ask one gateway, and leave when nothing comes for too long."""
-        gateway = dice.choice(self.gateways)
+        """Send the request to one gateway; abandon it if the first event takes too long."""
+        gateway = rng.choice(self.gateways)
         await asyncio.sleep(self.pattern.basics.client_s)
-        exchange = ModelExchange(request=self._request(ask, left_s, body), clock=self.clock)
+        exchange = ModelExchange(
+            request=self._build_request(planned, remaining_s, body), clock=self.clock
+        )
         stand_in: Any = exchange
         task = asyncio.ensure_future(gateway.forwarder.serve(stand_in))
-        await asyncio.wait({task}, timeout=min(left_s, _patience_s(load)))
-        if not exchange.events_at:
+        await asyncio.wait({task}, timeout=min(remaining_s, _first_event_patience_s(load)))
+        if not exchange.event_times:
             task.cancel()
         await asyncio.wait({task})
         return exchange
 
-    def _request(self, ask: Ask, left_s: float, body: bytes) -> Request:
-        prefix = ask.request.prefix
+    def _build_request(self, planned: PlannedRequest, remaining_s: float, body: bytes) -> Request:
+        prefix = planned.request.prefix
         if not body and prefix:
-            # The last part of a prompt is its own: its retries ask for the same.
+            # The last part of a prompt is unique to the request and the same in its retry.
             body = prefix[-1].name.encode()
-        asked = replace(
-            ask.request,
-            attempt_id=f'r{next(self.numbers)}',
-            time_left_s=left_s,
+        attempt = replace(
+            planned.request,
+            attempt_id=f'r{next(self.id_numbers)}',
+            time_left_s=remaining_s,
         )
-        self.events_of[asked.attempt_id] = ask.events
+        self.event_counts[attempt.attempt_id] = planned.event_count
         return Request(
             method='POST',
-            target=asked.path,
-            headers=encode_request(asked),
+            target=attempt.path,
+            headers=encode_request(attempt),
             body=body,
             arrived=self.clock.now(),
         )
 
-    def _draw(self, name: str, load: RouteLoad, dice: random.Random) -> ClientRequest:
-        """Return one request."""
-        prefix = self._draw_prompt(name, load, dice)
+    def _draw_request(self, name: str, load: RouteLoad, rng: random.Random) -> ClientRequest:
+        """Draw one request of a route."""
+        prefix = self._draw_prompt(name, load, rng)
         return ClientRequest(
             attempt_id='',
             host=HOST,
@@ -268,19 +277,19 @@
             key='',
             prompt_tokens=sum(part.tokens for part in prefix),
             prefix=prefix,
-            pieces=self._draw_pieces(name, dice),
+            pieces=self._draw_piece_counts(name, rng),
             piece_key='k',
         )
 
-    def _draw_pieces(self, name: str, dice: random.Random) -> tuple[int, ...]:
+    def _draw_piece_counts(self, name: str, rng: random.Random) -> tuple[int, ...]:
         counts = []
         for stage in self.pattern.stages.get(name, []):
             pieces = Amount(
                 mean=stage.pieces,
                 spread=stage.pieces_spread,
                 most=stage.pieces_most,
-            ).draw(dice)
-            needed = dice.random() < stage.share
+            ).draw(rng)
+            needed = rng.random() < stage.share
             counts.append(max(1, round(pieces)) if needed else 0)
         return tuple(counts)
 
@@ -288,10 +297,10 @@
         self,
         name: str,
         load: RouteLoad,
-        dice: random.Random,
+        rng: random.Random,
     ) -> tuple[PromptPart, ...]:
         prompt = Amount(mean=load.prompt, spread=load.prompt_spread, most=load.prompt_most)
-        subject = dice.randrange(load.subjects)
+        subject = rng.randrange(load.subjects)
         parts = []
         if load.common:
             parts.append(
@@ -299,16 +308,18 @@
             )
         if load.shared:
             parts.append(PromptPart(name=f'{name}s{subject}', tokens=int(load.shared)))
-        own = int(prompt.draw(dice))
-        parts.append(PromptPart(name=f'{name}o{next(self.numbers)}', tokens=own))
+        unique_tokens = int(prompt.draw(rng))
+        parts.append(PromptPart(name=f'{name}o{next(self.id_numbers)}', tokens=unique_tokens))
         return tuple(parts)
 
 
-def _draw_events(load: RouteLoad, dice: random.Random) -> int:
+def _draw_event_count(load: RouteLoad, rng: random.Random) -> int:
     events = Amount(mean=load.events, spread=load.events_spread, most=load.events_most)
-    return max(1, round(events.draw(dice)))
+    return max(1, round(events.draw(rng)))
 
 
-def _patience_s(load: RouteLoad) -> float:
-    """Return how long a client waits for the first event, seconds."""
-    return max(_LEAVE_S, _LEAVE_OBJECTIVES * load.objective_s, _LEAVE_PAUSES * load.pause_s)
+def _first_event_patience_s(load: RouteLoad) -> float:
+    """Return how long a client waits for the first event before it leaves, seconds."""
+    return max(
+        _MIN_PATIENCE_S, _PATIENCE_OBJECTIVES * load.objective_s, _PATIENCE_GAPS * load.pause_s
+    )
--- a/ringseam/model/experiment.py
+++ b/ringseam/model/experiment.py
@@ -1,4 +1,4 @@
-"""One run of a pattern under the policies in force, and what came of it."""
+"""Run a load pattern in virtual time under the current policies and summarize the results."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from typing import TYPE_CHECKING
 
 from ringseam.backends import BackendId, BackendReport, BackendState
-from ringseam.model.clients import Clients, End
-from ringseam.model.engines import ModelEngine, PromptUse
-from ringseam.model.gateways import ModelGateway, ModelLeader, ModelLinks, Servers
+from ringseam.model.clients import LoadGenerator, RequestEnd
+from ringseam.model.engines import ModelEngine, PrefillStatistics
+from ringseam.model.gateways import BackendServers, ModelGateway, ModelLeader, ModelNetwork
 from ringseam.model.pattern import EventKind
-from ringseam.model.stageservers import Results, StageServer
+from ringseam.model.stageservers import ResultStore, StageServer
 from ringseam.model.virtualtime import run_virtual
 from ringseam.routes import ServiceName
 from ringseam.zones import DrainedZones
@@ -22,120 +22,120 @@
 if TYPE_CHECKING:
     from ringseam.clock import PausedClock
     from ringseam.gateway.stages.jobs import Piece
-    from ringseam.model.clients import Outcome
+    from ringseam.model.clients import RequestOutcome
     from ringseam.model.pattern import Pattern, PatternEvent, Prices
 
-#: Requests are sent after the servers have been told to all, seconds.
-_BEGIN_S = 0.05
-#: Worth is looked at in windows of this length, seconds.
+#: Delay before the first request, so that all gateways know the servers, seconds.
+_START_DELAY_S = 0.05
+#: Length of the windows over which the worst share of the value is computed, seconds.
 _WINDOW_S = 2.0
 _GIGABYTE = 1e9
 _THOUSAND = 1000
-#: Waiting unserved costs nothing up to this share of the objective, and the whole
-#: worth from this share of the time limit on.
-_FREE_SHARE = 1 / 8
-_WHOLE_SHARE = 3 / 4
-#: A server that fell silent is out of the directory after this, seconds.
-_NOTICED_S = 4.5
-#: Servers say something of themselves, and go on.
-_WORDS = frozenset((EventKind.limited, EventKind.paused, EventKind.saying))
-#: An engine that a content has ended is back after this, seconds.
-_AWAY_S = 2.0
+#: The wait of a request that isn't served costs nothing up to this share of the latency
+#: objective, and the full value of the request from this share of the timeout on.
+_FREE_WAIT_SHARE = 1 / 8
+_FULL_COST_SHARE = 3 / 4
+#: A crashed server is removed from the directory after this time, seconds.
+_DIRECTORY_EXPIRY_S = 4.5
+#: Events in which servers only announce something in their responses and keep running.
+_ANNOUNCEMENTS = frozenset((EventKind.rate_limited, EventKind.paused, EventKind.announced_leave))
+#: An engine that a content crashed is back in service after this time, seconds.
+_ENGINE_RESTART_S = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Summary:
-    """What one run came to; shares are of what was owed."""
-
-    worth: float
-    worst_windows: float
-    #: Share of the worth earned, and of requests in time, by route.
-    earned: dict[str, float]
-    in_time: dict[str, float]
-    ends: dict[str, dict[str, int]]
-    #: Seconds of stage servers, and those whose results were not used.
-    stage_s: float
+    """The results of one run; shares are relative to the total value of all requests."""
+
+    value_share: float
+    worst_windows_share: float
+    #: Share of the value earned, and of the requests served on time, by route.
+    route_value_shares: dict[str, float]
+    on_time_shares: dict[str, float]
+    end_counts: dict[str, dict[str, int]]
+    #: Busy time of the stage servers, and its part spent on requests that weren't served.
+    stage_busy_s: float
     wasted_s: float
-    crossed_gb: float
-    again_tokens: float
-    #: What keeping requests waiting that were not served cost, in worth.
-    held: float
-    #: The worth of requests that were refused, came back and were not served.
-    failed_again: float
-    #: All worth that was owed, and what the run is worth at the pattern's prices.
-    owed: float
+    cross_zone_gb: float
+    repeated_tokens: float
+    #: Cost of the waiting time of requests that were not served, in units of value.
+    unserved_wait_cost: float
+    #: Value of the requests that were retried and still not served.
+    failed_retry_value: float
+    #: Total value of all requests, and the resource prices of the pattern.
+    total_value: float
     prices: Prices
-    #: How often a content ended an engine.
-    ended: int = 0
+    #: Number of times a content crashed an engine.
+    engine_crashes: int = 0
 
     @property
-    def net(self) -> float:
-        """Return the share of the worth earned, less all prices."""
+    def net_share(self) -> float:
+        """Return the share of the value earned, less the cost of all resources."""
         prices = self.prices
-        costs = self.wasted_s * prices.wasted_s + self.crossed_gb * prices.crossed_gb
-        costs += self.again_tokens / _THOUSAND * prices.again_k_tokens + self.held
-        costs += self.failed_again * prices.refused_again
-        return self.worth - costs / self.owed
+        costs = self.wasted_s * prices.wasted_s + self.cross_zone_gb * prices.crossed_gb
+        costs += self.repeated_tokens / _THOUSAND * prices.again_k_tokens + self.unserved_wait_cost
+        costs += self.failed_retry_value * prices.refused_again
+        return self.value_share - costs / self.total_value
 
     @property
-    def worst_kind(self) -> float:
-        """Return the share of the worst-served kind."""
-        return min(self.earned.values())
+    def worst_route_share(self) -> float:
+        """Return the lowest share of the value earned on any route."""
+        return min(self.route_value_shares.values())
 
 
 class Experiment:
-    """All that a run of a pattern needs."""
+    """A run of a pattern: its servers, gateways, leader, load and events."""
 
     def __init__(self, *, pattern: Pattern, seed: int, clock: PausedClock) -> None:
-        """Start the servers and gateways."""
+        """Create the servers and gateways."""
         self.pattern = pattern
         self.clock = clock
         self.seed = seed
-        kept = Results(clock=clock, zone_s=pattern.basics.zone_s)
-        self.use = PromptUse()
-        self.servers = Servers(kept=kept)
-        self.links = ModelLinks(zone_s=pattern.basics.zone_s)
-        self.gone: set[str] = set()
-        #: How often a content ended an engine.
-        self.ended = 0
+        result_store = ResultStore(clock=clock, zone_s=pattern.basics.zone_s)
+        self.prefill_statistics = PrefillStatistics()
+        self.servers = BackendServers(result_store=result_store)
+        self.network = ModelNetwork(zone_s=pattern.basics.zone_s)
+        self.departed: set[str] = set()
+        #: Number of times a content crashed an engine.
+        self.engine_crashes = 0
         self._start_servers()
-        table = pattern.table()
+        table = pattern.route_table()
         self.gateways = [
             ModelGateway(
                 name=f'g{number}',
                 zone=self._zone(number),
                 clock=clock,
                 table=table,
-                links=self.links,
+                network=self.network,
                 servers=self.servers,
             )
             for number in range(pattern.basics.gateways)
         ]
-        self.leader = ModelLeader(clock=clock, links=self.links)
+        self.leader = ModelLeader(clock=clock, network=self.network)
         self.leader.gateways = self.gateways
-        self.drained = DrainedZones()
+        self.drained_zones = DrainedZones()
 
     async def run(self) -> Summary:
-        """Play the pattern."""
+        """Run the pattern and return the summary."""
         states = tuple(gateway.state for gateway in self.gateways)
         for gateway in self.gateways:
-            gateway.know(states)
+            gateway.set_gateways(states)
             for report in self._reports():
                 gateway.follower.view.apply(report)
-        clients = Clients(
+        load_generator = LoadGenerator(
             pattern=self.pattern,
             clock=self.clock,
             gateways=self.gateways,
             seed=self.seed,
-            events_of=self.servers.events_of,
+            event_counts=self.servers.event_counts,
         )
         loop = asyncio.get_running_loop()
-        troubles = [loop.create_task(self._happen(event)) for event in self.pattern.events]
-        troubles.append(loop.create_task(self.leader.quarantining.run_evaluation()))
-        await clients.run()
-        for trouble in troubles:
-            trouble.cancel()
-        return self._summary(clients.outcomes)
+        tasks = [loop.create_task(self._run_event(event)) for event in self.pattern.events]
+        tasks.append(loop.create_task(self.leader.quarantining.run_evaluation()))
+        await load_generator.run()
+        for task in tasks:
+            task.cancel()
+        return self._summary(load_generator.outcomes)
 
     # -- servers -----------------------------------------------------------
 
@@ -148,16 +148,16 @@
                         report=report,
                         load=load,
                         clock=self.clock,
-                        others=self.servers.kept,
-                        work_of=self._work_of,
+                        result_store=self.servers.result_store,
+                        relative_cost_of=self._relative_cost_of,
                     )
                 else:
                     self.servers.engines[report.address] = ModelEngine(
                         report=report,
                         load=load,
                         clock=self.clock,
-                        use=self.use,
-                        on_end=functools.partial(self._end_engine, report),
+                        prefill_statistics=self.prefill_statistics,
+                        on_crash=functools.partial(self._crash_engine, report),
                     )
 
     def _report(self, service: str, number: int) -> BackendReport:
@@ -177,7 +177,7 @@
     def _zone(self, number: int) -> str:
         return f'z{number % self.pattern.basics.zones}'
 
-    def _work_of(self, piece: Piece) -> float:
+    def _relative_cost_of(self, piece: Piece) -> float:
         for stages in self.pattern.stages.values():
             for number, stage in enumerate(stages):
                 same = stage.service == piece.job.service and number == piece.job.stage
@@ -187,97 +187,97 @@
 
     # -- events ------------------------------------------------------------
 
-    async def _happen(self, event: PatternEvent) -> None:
-        if event.kind in {EventKind.burst, EventKind.ending}:
+    async def _run_event(self, event: PatternEvent) -> None:
+        if event.kind in {EventKind.burst, EventKind.crashing_content}:
             return
         await asyncio.sleep(event.at)
-        if event.kind is EventKind.drained:
+        if event.kind is EventKind.zone_drained:
             await self._drain(event)
             return
         present = [
             report
             for report in self._reports()
-            if report.service == event.of and report.instance not in self.gone
+            if report.service == event.of and report.instance not in self.departed
         ]
-        hit = present[: event.count]
+        affected = present[: event.count]
         if event.kind is EventKind.leave:
-            # Others than those that a crash or slowness hits meanwhile.
-            hit = present[-event.count :]
-            self.gone.update(report.instance for report in hit)
-        for report in hit:
-            await self._strike(event, report)
+            # Take servers from the end, as crashes and slowdowns affect the first ones.
+            affected = present[-event.count :]
+            self.departed.update(report.instance for report in affected)
+        for report in affected:
+            await self._start_event(event, report)
         await asyncio.sleep(event.for_s)
-        for report in hit:
-            if event.kind in _WORDS:
-                self._server(report).saying.limit_per_s = None
+        for report in affected:
+            if event.kind in _ANNOUNCEMENTS:
+                self._server(report).notices.rate_limit_per_s = None
             else:
-                self._mend(report)
+                self._restore(report)
 
-    def _let_say(self, event: PatternEvent, server: StageServer | ModelEngine) -> None:
-        """Let a server say something of itself from now on."""
-        if event.kind is EventKind.limited:
-            server.saying.limit_per_s = event.factor
+    def _announce(self, event: PatternEvent, server: StageServer | ModelEngine) -> None:
+        """Let a server announce a limit, a pause or its departure in its responses."""
+        if event.kind is EventKind.rate_limited:
+            server.notices.rate_limit_per_s = event.factor
         elif event.kind is EventKind.paused:
-            server.saying.paused_until = self.clock.now() + event.for_s
+            server.notices.paused_until = self.clock.now() + event.for_s
         else:
-            server.saying.leaving = True
+            server.notices.leaving = True
 
     async def _drain(self, event: PatternEvent) -> None:
-        self._tell_drained({*self.drained.names, event.of})
+        self._set_drained_zones({*self.drained_zones.names, event.of})
         await asyncio.sleep(event.for_s)
-        self._tell_drained(set(self.drained.names) - {event.of})
+        self._set_drained_zones(set(self.drained_zones.names) - {event.of})
 
-    def _tell_drained(self, names: set[str]) -> None:
-        change = self.drained.change + 1
-        self.drained = DrainedZones(change=change, names=tuple(sorted(names)))
+    def _set_drained_zones(self, names: set[str]) -> None:
+        change = self.drained_zones.change + 1
+        self.drained_zones = DrainedZones(change=change, names=tuple(sorted(names)))
         for gateway in self.gateways:
-            gateway.follower.view.drain_zones(self.drained)
-            gateway.works.refresh()
+            gateway.follower.view.drain_zones(self.drained_zones)
+            gateway.piece_scheduler.refresh()
 
-    async def _strike(self, event: PatternEvent, report: BackendReport) -> None:
+    async def _start_event(self, event: PatternEvent, report: BackendReport) -> None:
         server = self._server(report)
         if event.kind is EventKind.leave:
-            self._tell(report, BackendState.draining)
+            self._report_state(report, BackendState.draining)
         elif event.kind is EventKind.slow:
-            server.factor = event.factor
+            server.slowdown = event.factor
         elif event.kind is EventKind.silent:
             server.silent = True
-        elif event.kind in _WORDS:
-            self._let_say(event, server)
+        elif event.kind in _ANNOUNCEMENTS:
+            self._announce(event, server)
         else:
             server.crash()
             loop = asyncio.get_running_loop()
-            loop.call_later(_NOTICED_S, self._notice, report)
+            loop.call_later(_DIRECTORY_EXPIRY_S, self._remove_crashed, report)
 
-    def _end_engine(self, report: BackendReport) -> None:
-        """Let a content end an engine, and the engine be back later."""
-        self.ended += 1
+    def _crash_engine(self, report: BackendReport) -> None:
+        """Crash an engine and schedule its restart."""
+        self.engine_crashes += 1
         self._server(report).crash()
-        asyncio.get_running_loop().call_later(_AWAY_S, self._mend, report)
+        asyncio.get_running_loop().call_later(_ENGINE_RESTART_S, self._restore, report)
 
-    def _notice(self, report: BackendReport) -> None:
+    def _remove_crashed(self, report: BackendReport) -> None:
         if self._server(report).down:
             for gateway in self.gateways:
                 gateway.follower.view.remove(report.instance)
-                gateway.works.refresh()
+                gateway.piece_scheduler.refresh()
 
-    def _mend(self, report: BackendReport) -> None:
+    def _restore(self, report: BackendReport) -> None:
         server = self._server(report)
-        server.factor = 1
+        server.slowdown = 1
         server.restart()
         for gateway in self.gateways:
             gateway.follower.view.apply(report)
-            gateway.works.refresh()
+            gateway.piece_scheduler.refresh()
 
     def _server(self, report: BackendReport) -> StageServer | ModelEngine:
-        both: dict[str, StageServer | ModelEngine] = {
+        servers: dict[str, StageServer | ModelEngine] = {
             **self.servers.stages,
             **self.servers.engines,
         }
-        return both[report.address]
+        return servers[report.address]
 
-    def _tell(self, report: BackendReport, state: BackendState) -> None:
-        told = BackendReport(
+    def _report_state(self, report: BackendReport, state: BackendState) -> None:
+        update = BackendReport(
             instance=report.instance,
             service=report.service,
             address=report.address,
@@ -286,76 +286,77 @@
             state=state,
         )
         for gateway in self.gateways:
-            gateway.follower.view.apply(told)
-            gateway.works.refresh()
+            gateway.follower.view.apply(update)
+            gateway.piece_scheduler.refresh()
 
-    # -- figures -----------------------------------------------------------
+    # -- summary -----------------------------------------------------------
 
-    def _summary(self, outcomes: list[Outcome]) -> Summary:
-        owed: collections.Counter[str] = collections.Counter()
+    def _summary(self, outcomes: list[RequestOutcome]) -> Summary:
+        offered: collections.Counter[str] = collections.Counter()
         earned: collections.Counter[str] = collections.Counter()
         ends: dict[str, collections.Counter[str]] = {}
         for outcome in outcomes:
-            owed[outcome.route] += outcome.worth
-            earned[outcome.route] += outcome.earned
+            offered[outcome.route] += outcome.value
+            earned[outcome.route] += outcome.earned_value
             ends.setdefault(outcome.route, collections.Counter())[outcome.end.value] += 1
         return Summary(
-            worth=earned.total() / max(1, owed.total()),
-            worst_windows=_worst_windows(outcomes),
-            earned={name: earned[name] / worth for name, worth in owed.items()},
-            in_time={
-                name: counts[End.in_time.value] / counts.total() for name, counts in ends.items()
+            value_share=earned.total() / max(1, offered.total()),
+            worst_windows_share=_worst_windows_share(outcomes),
+            route_value_shares={name: earned[name] / value for name, value in offered.items()},
+            on_time_shares={
+                name: counts[RequestEnd.on_time.value] / counts.total()
+                for name, counts in ends.items()
             },
-            ends={name: dict(counts) for name, counts in ends.items()},
-            stage_s=sum(server.busy_s for server in self.servers.stages.values()),
-            wasted_s=self._wasted_s({served.served for served in outcomes}),
-            crossed_gb=self.servers.kept.crossed_bytes / _GIGABYTE,
-            again_tokens=self.use.again,
-            held=sum(map(self._held_worth, outcomes)),
-            failed_again=sum(failed.worth for failed in filter(_failed_again, outcomes)),
-            owed=owed.total(),
+            end_counts={name: dict(counts) for name, counts in ends.items()},
+            stage_busy_s=sum(server.busy_s for server in self.servers.stages.values()),
+            wasted_s=self._wasted_s({finished.served_attempt for finished in outcomes}),
+            cross_zone_gb=self.servers.result_store.crossed_bytes / _GIGABYTE,
+            repeated_tokens=self.prefill_statistics.repeated_tokens,
+            unserved_wait_cost=sum(map(self._unserved_wait_cost, outcomes)),
+            failed_retry_value=sum(failed.value for failed in filter(_is_failed_retry, outcomes)),
+            total_value=offered.total(),
             prices=self.pattern.prices,
-            ended=self.ended,
+            engine_crashes=self.engine_crashes,
         )
 
-    def _held_worth(self, outcome: Outcome) -> float:
-        """Return the worth that keeping a request waiting unserved cost."""
-        if outcome.end in {End.in_time, End.late}:
+    def _unserved_wait_cost(self, outcome: RequestOutcome) -> float:
+        """Return the cost of a request's waiting time if it was not served."""
+        if outcome.end in {RequestEnd.on_time, RequestEnd.late}:
             return 0
         load = self.pattern.routes[outcome.route]
-        free_s = load.objective_s * _FREE_SHARE
-        whole_s = load.timeout_s * _WHOLE_SHARE
-        share = (outcome.held_s - free_s) / (whole_s - free_s)
-        return outcome.worth * min(1, max(0, share))
+        free_wait_s = load.objective_s * _FREE_WAIT_SHARE
+        full_cost_wait_s = load.timeout_s * _FULL_COST_SHARE
+        share = (outcome.unserved_wait_s - free_wait_s) / (full_cost_wait_s - free_wait_s)
+        return outcome.value * min(1, max(0, share))
 
     def _wasted_s(self, served: set[str]) -> float:
-        """Return the seconds that were spent on requests that were not served."""
+        """Return the stage server time spent on attempts that were not served, seconds."""
         return sum(
             seconds
             for server in self.servers.stages.values()
-            for attempt, seconds in server.spent.items()
+            for attempt, seconds in server.seconds_by_attempt.items()
             if attempt not in served
         )
 
 
-def _failed_again(outcome: Outcome) -> bool:
-    return outcome.tries > 1 and outcome.end not in {End.in_time, End.late}
+def _is_failed_retry(outcome: RequestOutcome) -> bool:
+    return outcome.attempts > 1 and outcome.end not in {RequestEnd.on_time, RequestEnd.late}
 
 
-def _worst_windows(outcomes: list[Outcome]) -> float:
-    """Return the share of the worth earned in the two worst windows."""
-    owed: collections.Counter[int] = collections.Counter()
+def _worst_windows_share(outcomes: list[RequestOutcome]) -> float:
+    """Return the mean share of the value earned in the two worst windows."""
+    offered: collections.Counter[int] = collections.Counter()
     earned: collections.Counter[int] = collections.Counter()
     for outcome in outcomes:
         window = int(outcome.sent_at // _WINDOW_S)
-        owed[window] += outcome.worth
-        earned[window] += outcome.earned
-    shares = sorted(earned[window] / worth for window, worth in owed.items())
+        offered[window] += outcome.value
+        earned[window] += outcome.earned_value
+    shares = sorted(earned[window] / value for window, value in offered.items())
     return statistics.mean(shares[:2]) if shares else 0
 
 
 def run_experiment(pattern: Pattern, seed: int) -> Summary:
-    """Play a pattern once in virtual time."""
+    """Run a pattern once in virtual time and return the summary."""
 
     async def main(clock: PausedClock) -> Summary:  # noqa: WPS430
         return await Experiment(pattern=pattern, seed=seed, clock=clock).run()
--- a/ringseam/model/gateways.py
+++ b/ringseam/model/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways in virtual time: the serving policy classes over links in memory."""
+"""Simulated gateways: the real policy classes, connected by an in-memory network."""
 
 from __future__ import annotations
 
@@ -37,32 +37,32 @@
     from ringseam.backends import BackendReport
     from ringseam.clock import Clock
     from ringseam.model.engines import ModelEngine
-    from ringseam.model.stageservers import Results, StageServer
+    from ringseam.model.stageservers import ResultStore, StageServer
     from ringseam.routes import RouteTable, ServiceName
 
 logger = logging.getLogger(__name__)
 
 _RETRY_SLACK = 50
-#: What an address that nobody listens at costs, seconds.
-_REFUSED_S = 0.003
+#: Time until a connection to an address without a listener is refused, seconds.
+_CONNECTION_REFUSED_S = 0.003
 
 
 @dataclass(kw_only=True)
-class Servers:
-    """All backend servers, by address, and what they keep."""
+class BackendServers:
+    """All backend servers, by address, and the results that they store."""
 
-    kept: Results
+    result_store: ResultStore
     stages: dict[str, StageServer] = field(default_factory=dict)
     engines: dict[str, ModelEngine] = field(default_factory=dict)
-    #: How many events each request is answered with.
-    events_of: dict[str, int] = field(default_factory=dict)
+    #: Number of events in the response, by attempt ID.
+    event_counts: dict[str, int] = field(default_factory=dict)
 
 
 class ModelFollower:
-    """What a gateway knows of routes, servers and other gateways."""
+    """A gateway's view of routes, servers and other gateways, without a control group."""
 
     def __init__(self, *, table: RouteTable) -> None:
-        """Serve by ``table``."""
+        """Create a follower with a fixed route table."""
         self.table = table
         self.view = BackendView()
         self.gateways: tuple[GatewayState, ...] = ()
@@ -77,25 +77,25 @@
         return frozenset(state.name for state in self.gateways)
 
     def zones_within(self, *limits: frozenset[str]) -> None:
-        """Return that all zones are allowed."""
+        """Return None: all zones are allowed."""
 
     def serving(self, service: ServiceName, account: str, zones: None) -> list[BackendReport]:
-        """Return the servers of a service; no account is confined."""
+        """Return the servers of a service; no client account is confined."""
         return self.view.serving(service)
 
     def is_serving(self, server: BackendReport) -> bool:
-        """Return whether a server takes new work."""
+        """Return whether a server accepts new requests."""
         return server in self.view.serving(server.service)
 
     async def wait_for_routes(self, limit_s: float) -> None:
-        """Return: there always are routes."""
+        """Return at once, as the routes are always known."""
 
 
-class ModelLinks:
-    """Calls between gateways in memory, with the time that they take."""
+class ModelNetwork:
+    """In-memory calls between gateways, with network latency."""
 
     def __init__(self, *, zone_s: float) -> None:
-        """Take ``zone_s`` one way between zones."""
+        """Create a network with a one-way latency of ``zone_s``, seconds."""
         self.zone_s = zone_s
         self.handlers: dict[tuple[str, str], Any] = {}
         self.calls = 0
@@ -105,12 +105,12 @@
     ) -> ReceivedMessage:
         """Call a method of another gateway.
 
-        :raises UnreachableError: when it isn't there or doesn't answer in time.
+        :raises UnreachableError: if there is no handler or no reply in time.
         """
         self.calls += 1
         handler = self.handlers.get((address, method.path))
         if handler is None:
-            await asyncio.sleep(_REFUSED_S)
+            await asyncio.sleep(_CONNECTION_REFUSED_S)
             raise UnreachableError(address)
         received = ReceivedMessage(sender='', address='', group='', revision=0, body=message)
         try:
@@ -119,42 +119,44 @@
                 body = await handler(received)
                 await asyncio.sleep(self.zone_s)
         except asyncio.TimeoutError:
-            raise UnreachableError(f'{address} took too long') from None
+            raise UnreachableError(f'{address}: no reply in time') from None
         return ReceivedMessage(sender='', address=address, group='', revision=0, body=body)
 
 
 class ModelLeader:
-    """The leader's judgement on contents that end servers; all else is left out."""
+    """The leader of the control group, reduced to the quarantine of crashing contents."""
 
-    def __init__(self, *, clock: Clock, links: ModelLinks) -> None:
-        """Answer at the address that followers know."""
+    def __init__(self, *, clock: Clock, network: ModelNetwork) -> None:
+        """Register at the empty address, which the followers use for the leader."""
         node = Node(name='leader', role='control', address='', secret=b'', clock=clock)
-        self.links = links
+        self.network = network
         self.gateways: list[ModelGateway] = []
         self.quarantining = QuarantineService(
             node=node,
             submit=self._record,
-            notify_watchers=self._tell,
+            notify_watchers=self._publish_quarantine,
             redirect=lambda: None,
             is_planned=lambda _: False,
         )
         self.quarantining.serve(self)
 
     def add(self, method: Any, handler: Any) -> None:
-        """Take calls of a method."""
-        self.links.handlers['', method.path] = handler
+        """Register the handler of a method."""
+        self.network.handlers['', method.path] = handler
 
     async def _record(self, command: Any) -> None:
-        """Do nothing: no verdict outlives a run."""
+        """Do nothing; verdicts need not outlive a run."""
 
-    def _tell(self) -> None:
+    def _publish_quarantine(self) -> None:
         loop = asyncio.get_running_loop()
         for gateway in self.gateways:
-            loop.call_later(self.links.zone_s, gateway.hold, self.quarantining.snapshot())
+            loop.call_later(
+                self.network.zone_s, gateway.set_quarantine, self.quarantining.snapshot()
+            )
 
 
 class ModelGateway:
-    """One gateway: the classes that serve, wired to servers in memory."""
+    """One gateway: the real request and stage classes, connected to simulated servers."""
 
     def __init__(
         self,
@@ -163,10 +165,10 @@
         zone: str,
         clock: Clock,
         table: RouteTable,
-        links: ModelLinks,
-        servers: Servers,
+        network: ModelNetwork,
+        servers: BackendServers,
     ) -> None:
-        """Wire one gateway."""
+        """Create the gateway and register its handlers."""
         node = Node(
             name=name,
             role='gateway',
@@ -177,13 +179,13 @@
             incarnation=name,
         )
         self.node = node
-        self.links = links
+        self.network = network
         self.health = HealthTracker()
         self.follower: Any = ModelFollower(table=table)
         ownership = Ownership(follower=self.follower, name=name)
-        client: Any = links
-        words = ServerNotices(node=node, metrics=Metrics(), view=self.follower.view)
-        turns = PermitAllocator(
+        client: Any = network
+        notices = ServerNotices(node=node, metrics=Metrics(), view=self.follower.view)
+        permits = PermitAllocator(
             node=node,
             client=client,
             follower=self.follower,
@@ -191,8 +193,8 @@
             pacer=Pacer(
                 name=name,
                 health=self.health,
-                limits=words.limits,
-                pauses=words.pauses,
+                limits=notices.limits,
+                pauses=notices.pauses,
             ),
         )
         self.placements = PlacementClient(
@@ -201,18 +203,18 @@
             follower=self.follower,
             health=self.health,
             ownership=ownership,
-            turns=turns,
+            turns=permits,
         )
         retries = WindowRetries(slack=_RETRY_SLACK)
         sender: Any = ModelSender(
             engines=servers.engines,
-            kept=servers.kept,
+            result_store=servers.result_store,
             silence=SilenceDetector(),
             zone=zone,
-            zone_s=links.zone_s,
-            events_of=servers.events_of,
+            zone_s=network.zone_s,
+            event_counts=servers.event_counts,
             health=self.health,
-            words=words,
+            notices=notices,
         )
         self.guard = QuarantineGuard(
             node=node,
@@ -224,22 +226,22 @@
         calls: Any = ModelPieceCalls(
             servers=servers.stages,
             zone=zone,
-            zone_s=links.zone_s,
-            words=words,
+            zone_s=network.zone_s,
+            notices=notices,
         )
-        self.works = PieceScheduler(
+        self.piece_scheduler = PieceScheduler(
             node=node,
             follower=self.follower,
             calls=calls,
             retries=retries,
             guard=self.guard,
             ownership=ownership,
-            pace=turns.pacer,
+            pace=permits.pacer,
         )
         self.pieces = PieceClient(
-            clock=clock, client=client, scheduler=self.works, ownership=ownership
+            clock=clock, client=client, scheduler=self.piece_scheduler, ownership=ownership
         )
-        self.works.release_inputs = self.pieces.release
+        self.piece_scheduler.release_inputs = self.pieces.release
         responder = Responder(node=node, metrics=Metrics())
         attempts = AttemptRunner(
             node=node,
@@ -257,31 +259,31 @@
             attempts=attempts,
             responder=responder,
         )
-        self._listen(turns)
+        self._register_handlers(permits)
 
     @property
     def state(self) -> GatewayState:
-        """Return what the other gateways are told of this one."""
+        """Return the state that is reported to the other gateways."""
         return GatewayState(name=self.node.name, address=self.node.address, zone=self.node.zone)
 
-    def hold(self, news: QuarantineSnapshot) -> None:
-        """Hear which contents end servers."""
-        self.follower.quarantine = news
+    def set_quarantine(self, snapshot: QuarantineSnapshot) -> None:
+        """Apply a snapshot of the quarantined contents."""
+        self.follower.quarantine = snapshot
         self.guard.apply_quarantine()
 
-    def know(self, gateways: tuple[GatewayState, ...]) -> None:
-        """Hear which gateways there are."""
+    def set_gateways(self, gateways: tuple[GatewayState, ...]) -> None:
+        """Set the list of all gateways."""
         self.follower.gateways = gateways
-        # The gateways of a pattern have been there for long.
+        # All gateways count as long-running, so ownership needs no transition period.
         services = self.follower.table.services
-        self.works.ownership.sole_since = dict.fromkeys(services, float('-inf'))
-        self.works.ownership.refresh()
+        self.piece_scheduler.ownership.sole_since = dict.fromkeys(services, float('-inf'))
+        self.piece_scheduler.ownership.refresh()
 
     def add(self, method: Any, handler: Any) -> None:
-        """Take calls of a method from other gateways."""
-        self.links.handlers[self.node.address, method.path] = handler
+        """Register the handler of a method called by other gateways."""
+        self.network.handlers[self.node.address, method.path] = handler
 
-    def _listen(self, turns: PermitAllocator) -> None:
+    def _register_handlers(self, permits: PermitAllocator) -> None:
         for method, handler in (
             (PIECES, self.pieces.serve_pieces),
             (WAITS, self.pieces.serve_waits),
@@ -290,5 +292,5 @@
             (PROGRESS, self.placements.serve_progress),
         ):
             self.add(method, handler)
-        listener: Any = self
-        turns.register(listener)
+        registrar: Any = self
+        permits.register(registrar)
--- a/ringseam/model/pattern.py
+++ b/ringseam/model/pattern.py
@@ -1,9 +1,10 @@
-"""Patterns of load and trouble as data, read from an INI file.
+"""Patterns of load and failures, read from an INI file.
 
-Sections: ``[pattern]``, ``[service NAME]``, ``[route NAME]``, ``[stage ROUTE N]`` and
-``[event NAME]``. Durations are seconds, sizes bytes and tokens unless a name says
-otherwise. Amounts that differ by request are drawn from a lognormal distribution
-with the given mean, the spread of its logarithm and a highest value.
+The sections are ``[pattern]``, ``[service NAME]``, ``[route NAME]``, ``[stage ROUTE N]``,
+``[event NAME]`` and ``[prices]``. Durations are in seconds, sizes in bytes or tokens
+unless the name gives another unit. Amounts that vary by request are drawn from a
+lognormal distribution given by its mean, the standard deviation of its logarithm
+(``_spread``) and an upper bound (``_most``).
 """
 
 from __future__ import annotations
@@ -33,27 +34,27 @@
     import random
 
 _MEGABYTE = 1_000_000
-#: All routes of a pattern belong to one host.
+#: The host of all routes of a pattern.
 HOST = 'model.example'
 
 
 class Amount(msgspec.Struct, frozen=True, kw_only=True):
-    """An amount that differs by request."""
+    """The distribution of an amount that varies by request."""
 
     mean: float
     spread: float = 0
     most: float = math.inf
 
-    def draw(self, dice: random.Random) -> float:
-        """Return one amount."""
+    def draw(self, rng: random.Random) -> float:
+        """Draw one amount."""
         if not self.spread:
             return self.mean
-        middle = math.log(self.mean) - self.spread**2 / 2
-        return min(self.most, dice.lognormvariate(middle, self.spread))
+        mu = math.log(self.mean) - self.spread**2 / 2
+        return min(self.most, rng.lognormvariate(mu, self.spread))
 
 
 class ServiceLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Backend servers of one service; those of engines read prompts."""
+    """The backend servers of one service: stage servers if ``batch`` is set, else engines."""
 
     servers: int
     # -- stage servers
@@ -66,9 +67,10 @@
     # -- engines
     read_tokens_per_s: float = 0
     step_s: float = 0.005
-    #: A step takes this much longer for each stream.
+    #: Additional duration of a step for each stream.
     step_per_stream_s: float = 4e-6
-    #: Reading a million pairs of tokens takes this long beside the tokens.
+    #: Duration of attention over a million pairs of tokens in prefill, in addition to the
+    #: time for the tokens.
     pairs_s_per_m: float = 0.0006
     chunk_tokens: int = 1024
     memory_tokens: int = 340_000
@@ -83,15 +85,18 @@
     pieces: float = 1
     pieces_spread: float = 0
     pieces_most: float = math.inf
-    #: Share of the requests that need the stage.
+    #: Share of the requests that use the stage.
     share: float = 1
     result_bytes: float = 1000
-    #: A piece takes this share of what the service says.
+    #: Duration of a piece relative to ``piece_s`` of the service.
     work: float = 1
 
 
 class RouteLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests of one kind."""
+    """The requests of one route.
+
+    A response on time has the value ``worth``, a late one ``late_worth``.
+    """
 
     service: str
     per_s: float
@@ -108,7 +113,8 @@
     prompt: float = 1000
     prompt_spread: float = 0
     prompt_most: float = math.inf
-    #: Tokens of parts that requests share, and how many such parts there are.
+    #: A prompt consists of a common part, the part of its subject and a unique part. These
+    #: are the tokens of the first two, and how many different ones there are.
     shared: float = 0
     subjects: int = 1
     common: float = 0
@@ -116,73 +122,74 @@
 
 
 class EventKind(enum.Enum):
-    """What happens to servers or load."""
+    """An event that affects servers or load."""
 
     burst = 'burst'
-    #: Servers leave as planned: they take nothing new and finish what they have.
+    #: Servers leave as planned: they accept no new requests and finish the running ones.
     leave = 'leave'
-    #: Servers reset all they have and are back later.
+    #: Servers break all connections and restart later.
     crash = 'crash'
     slow = 'slow'
-    #: Connections stay open and nothing is answered.
+    #: Connections stay open, but servers send no responses.
     silent = 'silent'
-    #: A client asks for one content, ``factor`` times a second, that ends each engine
-    #: that runs it; the engine is back after two seconds.
-    ending = 'ending'
-    #: The servers of the zone ``of`` get nothing new, and are used again later.
-    drained = 'drained'
-    #: Servers name a limit of ``factor`` requests a second.
-    limited = 'limited'
-    #: Servers turn all away and ask for a pause.
+    #: A client requests, ``factor`` times a second, a content that crashes each engine
+    #: that runs it; the engine restarts after two seconds.
+    crashing_content = 'ending'
+    #: The zone ``of`` is drained: its servers get no new requests until the event ends.
+    zone_drained = 'drained'
+    #: Servers announce a rate limit of ``factor`` requests per second.
+    rate_limited = 'limited'
+    #: Servers refuse all requests and ask for a pause.
     paused = 'paused'
-    #: Servers say in their answers alone that they leave.
-    saying = 'saying'
+    #: Servers announce that they leave in their responses only, not to the control group.
+    announced_leave = 'saying'
 
 
 class PatternEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """Something that happens during a pattern."""
+    """An event during a pattern."""
 
     kind: EventKind
     at: float
     for_s: float = math.inf
-    #: A service, for bursts and endings a route, for drains a zone; none: all routes.
+    #: The affected service; for bursts and crashing contents a route, for drains a zone.
+    #: A burst without a name affects all routes.
     of: str = ''
     count: int = 1
     factor: float = 2
 
-    def covers(self, now: float) -> bool:
-        """Return whether it is under way."""
+    def is_active(self, now: float) -> bool:
+        """Return whether the event is in progress."""
         return self.at <= now < self.at + self.for_s
 
 
 class Basics(msgspec.Struct, frozen=True, kw_only=True):
-    """What holds for a whole pattern."""
+    """The settings of a whole pattern."""
 
     seconds: float = 30
     zones: int = 3
     gateways: int = 3
-    #: One way between zones, and from clients.
+    #: One-way latency between zones, and from clients to gateways.
     zone_s: float = 0.0014
     client_s: float = 0.003
-    #: Requests come in clumps of this many in the mean.
+    #: Requests arrive in clumps; this is their mean size.
     clump: float = 2
 
 
 class Prices(msgspec.Struct, frozen=True, kw_only=True):
-    """What resources cost, in the worth of requests; an operator's to set."""
+    """Prices of resources, in units of the value of requests; set by the operator."""
 
-    #: A second of a stage server on a request that is not served.
+    #: Per second of stage server time spent on a request that is not served.
     wasted_s: float = 0
-    #: A gigabyte of results between zones.
+    #: Per gigabyte of results transferred between zones.
     crossed_gb: float = 0
-    #: A thousand shared tokens that are read again.
+    #: Per thousand shared prompt tokens for which prefill is repeated.
     again_k_tokens: float = 0
-    #: A share of the worth of a request that was refused, came back and isn't served.
+    #: Share of the value of a request that was refused, retried and still not served.
     refused_again: float = 0
 
 
 class Pattern(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole pattern."""
+    """A pattern of load and events."""
 
     basics: Basics
     services: dict[str, ServiceLoad]
@@ -191,8 +198,8 @@
     events: list[PatternEvent] = []
     prices: Prices = Prices()
 
-    def table(self) -> RouteTable:
-        """Return the routes as gateways hold them."""
+    def route_table(self) -> RouteTable:
+        """Return the route table for the gateways."""
         return RouteTable(
             number=1,
             routes=tuple(self._route(name, load) for name, load in self.routes.items()),
@@ -201,11 +208,11 @@
             },
         )
 
-    def rate(self, name: str, now: float) -> float:
-        """Return the requests of a route a second at a moment."""
+    def rate_at(self, name: str, now: float) -> float:
+        """Return the rate of a route at a given time, requests per second."""
         rate = self.routes[name].per_s
         for event in self.events:
-            if event.kind is EventKind.burst and event.of in {'', name} and event.covers(now):
+            if event.kind is EventKind.burst and event.of in {'', name} and event.is_active(now):
                 rate *= event.factor
         return rate
 
@@ -236,9 +243,9 @@
 
 
 def read_pattern(text: str, *, path: str) -> Pattern:
-    """Return the pattern of an INI file.
+    """Parse the pattern in an INI file.
 
-    :raises FindingsError: when it is wrong, with all findings.
+    :raises FindingsError: if the file is invalid, with all findings.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -246,31 +253,31 @@
     except configparser.Error as error:
         raise FindingsError([_finding(path, '', str(error))]) from None
     findings: list[Finding] = []
-    found: dict[str, dict[str, Any]] = {}
-    for section in parser.sections():
-        kind, _, name = section.partition(' ')
+    sections: dict[str, dict[str, Any]] = {}
+    for header in parser.sections():
+        kind, _, name = header.partition(' ')
         try:
-            found.setdefault(kind, {})[name] = _convert(kind, dict(parser[section]))
+            sections.setdefault(kind, {})[name] = _convert(kind, dict(parser[header]))
         except (msgspec.ValidationError, KeyError) as error:
-            findings.append(_finding(path, section, str(error)))
+            findings.append(_finding(path, header, str(error)))
     if findings:
         raise FindingsError(findings)
-    return _assemble(found, path)
+    return _assemble(sections, path)
 
 
-def _assemble(found: dict[str, dict[str, Any]], path: str) -> Pattern:
+def _assemble(sections: dict[str, dict[str, Any]], path: str) -> Pattern:
     stages: dict[str, list[StageLoad]] = {}
-    for name in sorted(found.get('stage', {})):
-        stages.setdefault(name.partition(' ')[0], []).append(found['stage'][name])
+    for name in sorted(sections.get('stage', {})):
+        stages.setdefault(name.partition(' ')[0], []).append(sections['stage'][name])
     pattern = Pattern(
-        basics=found.get('pattern', {}).get('', Basics()),
-        services=found.get('service', {}),
-        routes=found.get('route', {}),
+        basics=sections.get('pattern', {}).get('', Basics()),
+        services=sections.get('service', {}),
+        routes=sections.get('route', {}),
         stages=stages,
-        events=list(found.get('event', {}).values()),
-        prices=found.get('prices', {}).get('', Prices()),
+        events=list(sections.get('event', {}).values()),
+        prices=sections.get('prices', {}).get('', Prices()),
     )
-    used = [stage.service for parts in stages.values() for stage in parts]
+    used = [stage.service for route_stages in stages.values() for stage in route_stages]
     used.extend(route.service for route in pattern.routes.values())
     findings = [
         _finding(path, '', f'unknown service {service!r}')
@@ -294,11 +301,11 @@
 
 
 def _convert(kind: str, section: dict[str, str]) -> Any:
-    parts: dict[str, Any] = dict(section)
+    settings: dict[str, Any] = dict(section)
     after = section.get('after')
     if after is not None:
-        parts['after'] = [piece.strip() for piece in after.split(',')]
-    return msgspec.convert(parts, _SECTIONS[kind], strict=False)
+        settings['after'] = [stage.strip() for stage in after.split(',')]
+    return msgspec.convert(settings, _SECTIONS[kind], strict=False)
 
 
 def _service(name: str, load: ServiceLoad) -> BackendService:
--- a/ringseam/model/virtualtime.py
+++ b/ringseam/model/virtualtime.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer instead of passing."""
+"""An event loop in virtual time: instead of waiting, it advances to the next timer."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class StuckError(RingseamError):
-    """All tasks wait, and no timer will wake one."""
+    """All tasks are waiting and no timer is pending."""
 
 
-class JumpingSelector(selectors.SelectSelector):
-    """Advance a clock instead of waiting for files; there are none."""
+class VirtualTimeSelector(selectors.SelectSelector):
+    """Advance a clock instead of waiting for I/O; no files are registered."""
 
     def __init__(self, *, clock: PausedClock) -> None:
         """Advance ``clock``."""
@@ -28,41 +28,41 @@
         self.clock = clock
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Let the time pass until the next timer.
+        """Advance the clock to the next timer.
 
-        :raises StuckError: when there is none.
+        :raises StuckError: if no timer is pending.
         """
         if timeout is None:
-            raise StuckError('nothing is left that could wake a task')
+            raise StuckError('all tasks are waiting and no timer is pending')
         if timeout > 0:
             self.clock.advance(timeout)
         return []
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Run tasks in the time of a paused clock."""
 
     def __init__(self, *, clock: PausedClock) -> None:
-        """Take the time from ``clock``."""
+        """Create a loop that reads the time from ``clock``."""
         self.clock = clock
-        super().__init__(JumpingSelector(clock=clock))
+        super().__init__(VirtualTimeSelector(clock=clock))
 
     def time(self) -> float:
-        """Return virtual seconds."""
+        """Return the virtual time, seconds."""
         return self.clock.now()
 
 
 def run_virtual(main: Callable[[PausedClock], Coroutine[Any, Any, ResultT]]) -> ResultT:
-    """Run ``main`` to its end in virtual time and return its result."""
+    """Run ``main`` in virtual time until it completes, and return its result."""
     clock = PausedClock()
-    loop = VirtualLoop(clock=clock)
+    loop = VirtualTimeLoop(clock=clock)
     try:
         return loop.run_until_complete(main(clock))
     finally:
-        _end(loop)
+        _shut_down(loop)
 
 
-def _end(loop: asyncio.AbstractEventLoop) -> None:
+def _shut_down(loop: asyncio.AbstractEventLoop) -> None:
     tasks = asyncio.all_tasks(loop)
     for task in tasks:
         task.cancel()
--- a/tests/test_model/test_model_loads.py
+++ b/tests/test_model/test_model_loads.py
@@ -1,8 +1,8 @@
-"""What callers get under patterns of load, by the policies in force.
+"""Value that clients get under load patterns with the current policies.
 
-Each test names the pattern that it answers. Runs of one seed repeat exactly. The
-bounds were set by hand below what the policies reached, as limits that a collapse
-would break; they are no confidence intervals.
+Each test names its pattern in bench/patterns. Runs with the same seed are identical.
+The bounds lie below the results of the policies, so that a collapse violates them;
+they are not confidence intervals.
 """
 
 from __future__ import annotations
@@ -19,70 +19,71 @@
 from ringseam.model.experiment import run_experiment
 from ringseam.model.pattern import read_pattern
 
-#: Runs of the pattern of contents that end engines.
-ENDING_SEEDS = range(1, 7)
+#: Seeds of the runs with a content that crashes engines.
+CRASHING_CONTENT_SEEDS = range(1, 7)
 PATTERNS = Path(__file__).parents[2] / 'bench' / 'patterns'
 
 
 @pytest.fixture(autouse=True)
-def quiet_log():
+def disable_logging():
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
 
 
-def pattern(name):
+def load_pattern(name):
     path = PATTERNS / f'{name}.ini'
     return read_pattern(path.read_text(), path=str(path))
 
 
-def played(name):
-    return run_experiment(pattern(name), seed=1)
+def run_pattern(name):
+    return run_experiment(load_pattern(name), seed=1)
 
 
 def test_runs_of_one_seed_are_the_same():
-    whole = pattern('bursts')
+    whole = load_pattern('bursts')
     short = msgspec.structs.replace(whole, basics=msgspec.structs.replace(whole.basics, seconds=4))
     assert run_experiment(short, 1) == run_experiment(short, 1)
     assert run_experiment(short, 1) != run_experiment(short, 2)
 
 
 def test_bursts_of_each_kind_are_served():
-    """Pattern bursts: twice the load of one kind after the other, then of all."""
-    found = played('bursts')
-    assert found.worth > 0.85
-    assert found.worst_kind > 0.6
-    assert found.held < 0.01 * found.owed
+    """Pattern bursts: about twice the load of one route after the other, then of all."""
+    summary = run_pattern('bursts')
+    assert summary.value_share > 0.85
+    assert summary.worst_route_share > 0.6
+    assert summary.unserved_wait_cost < 0.01 * summary.total_value
 
 
-def test_one_server_of_three_serves_the_dearest_and_starves_nobody():
-    """Pattern scarce: the bottleneck has a half of the servers that it needs.
+def test_one_server_of_three_serves_the_most_valuable_and_starves_nobody():
+    """Pattern scarce: the bottleneck has half of the servers that it needs.
 
-    Who can't be served is told soon (held), little work is thrown away, and no kind
-    is under 0.6 of the mean share.
+    Requests that can't be served are refused soon (``unserved_wait_cost``), little work is
+    wasted, and no route gets less than 0.6 of the mean share.
     """
-    found = played('scarce')
-    assert found.worth > 0.55
-    assert found.worst_kind > 0.6 * found.worth
-    assert found.held < 0.03 * found.owed
-    assert found.wasted_s < 0.1 * found.stage_s
+    summary = run_pattern('scarce')
+    assert summary.value_share > 0.55
+    assert summary.worst_route_share > 0.6 * summary.value_share
+    assert summary.unserved_wait_cost < 0.03 * summary.total_value
+    assert summary.wasted_s < 0.1 * summary.stage_busy_s
 
 
 def test_service_that_loses_its_servers_one_by_one_does_not_collapse():
     """Pattern starved: after bursts, one server of three is left for half a minute.
 
-    Without giving up what is hopeless, and without a turn of their own for clients
-    that come back, requests wait that nobody is served with any more.
+    Guards against a collapse in which requests wait although their results can no longer
+    be used. It occurs if pieces that can't meet their deadline aren't shed, or if retries
+    of clients aren't scheduled separately.
     """
-    found = played('starved')
-    assert found.worth > 0.6
-    assert found.worst_kind > 0.6 * found.worth
-    assert found.held < 0.03 * found.owed
-    assert found.wasted_s < 0.1 * found.stage_s
+    summary = run_pattern('starved')
+    assert summary.value_share > 0.6
+    assert summary.worst_route_share > 0.6 * summary.value_share
+    assert summary.unserved_wait_cost < 0.03 * summary.total_value
+    assert summary.wasted_s < 0.1 * summary.stage_busy_s
 
 
-def with_engines_turned(whole, factor):
-    """Return ten seconds of a pattern whose engines read ``factor`` times as fast."""
+def with_engine_speed(whole, factor):
+    """Return ten seconds of a pattern with engines whose prefill is ``factor`` times as fast."""
     services = {
         name: msgspec.structs.replace(load, read_tokens_per_s=factor * load.read_tokens_per_s)
         for name, load in whole.services.items()
@@ -92,56 +93,56 @@
 
 
 @pytest.mark.parametrize('factor', [1 / 3, 3])
-def test_engines_of_another_speed_are_served_as_if_it_were_known(monkeypatch, factor):
-    """Pattern bursts, engines that read three times as slowly or as fast as expected.
+def test_unexpected_engine_speed_costs_little_value(monkeypatch, factor):
+    """Pattern bursts, with engines whose prefill is three times as slow or fast as expected.
 
-    Placement compares engines with each other, so a common error changes little.
+    Placement compares engines with each other, so an error common to all changes little.
     """
-    turned = with_engines_turned(pattern('bursts'), factor)
-    untold = run_experiment(turned, seed=1)
+    changed = with_engine_speed(load_pattern('bursts'), factor)
+    default_speed = run_experiment(changed, seed=1)
     known = factor * placement.PREFILL_TOKENS_PER_S
     monkeypatch.setattr(placement, 'PREFILL_TOKENS_PER_S', known)
-    told = run_experiment(turned, seed=1)
-    assert untold.net > told.net - 0.05
+    known_speed = run_experiment(changed, seed=1)
+    assert default_speed.net_share > known_speed.net_share - 0.05
 
 
-def served_share(found):
-    counts = list(found.ends.values())
+def served_share(summary):
+    counts = list(summary.end_counts.values())
     served = sum(kinds.get('in time', 0) + kinds.get('late', 0) for kinds in counts)
     return served / sum(sum(kinds.values()) for kinds in counts)
 
 
 @functools.cache
-def played_with_and_without_ending(seed):
-    whole = pattern('ending')
+def run_with_and_without_crashes(seed):
+    whole = load_pattern('ending')
     without = msgspec.structs.replace(whole, events=[])
     return run_experiment(whole, seed=seed), run_experiment(without, seed=seed)
 
 
-def check_ending(seed):
-    """Three ends tell it, and one ask may be under way then; others are served 0.98 times
-    as often as without that client."""
-    found, calm = played_with_and_without_ending(seed)
-    assert 3 <= found.ended <= 4
-    assert calm.ended == 0
-    assert served_share(found) >= 0.98 * served_share(calm)
+def check_crashing_content(seed):
+    """Check that the content crashes three engines, or four if one more request was in
+    flight, and that other requests are served at least 0.98 times as often as without it."""
+    summary, baseline = run_with_and_without_crashes(seed)
+    assert 3 <= summary.engine_crashes <= 4
+    assert baseline.engine_crashes == 0
+    assert served_share(summary) >= 0.98 * served_share(baseline)
 
 
 @pytest.mark.parametrize('seed', [1, 3])
-def test_content_that_ends_engines_costs_three_of_them_and_others_little(seed):
-    """Pattern ending: 48 asks for a chat that ends each engine that begins it."""
-    check_ending(seed)
+def test_crashing_content_crashes_few_engines_and_hardly_affects_others(seed):
+    """Pattern ending: 48 requests for a chat that crashes each engine that starts it."""
+    check_crashing_content(seed)
 
 
-def test_content_that_ends_engines_costs_others_little_with_seed_2():
-    """Pattern ending once more: a seed of its own, as it is known to fail."""
-    check_ending(2)
+def test_crashing_content_hardly_affects_others_with_seed_2():
+    """Pattern ending with seed 2, which is known to fail and is a test of its own for that."""
+    check_crashing_content(2)
 
 
-def test_content_that_ends_engines_costs_three_of_them_in_the_middle():
-    """Pattern ending over six seeds: the median of the ends, the mean share of others."""
-    played_seeds = [played_with_and_without_ending(seed) for seed in ENDING_SEEDS]
-    assert statistics.median(found.ended for found, _ in played_seeds) == 3
-    assert max(found.ended for found, _ in played_seeds) <= 4
-    shares = [served_share(found) / served_share(calm) for found, calm in played_seeds]
+def test_crashing_content_crashes_three_engines_in_the_median():
+    """Pattern ending with six seeds: median of the crashes, mean share of other requests."""
+    runs = [run_with_and_without_crashes(seed) for seed in CRASHING_CONTENT_SEEDS]
+    assert statistics.median(summary.engine_crashes for summary, _ in runs) == 3
+    assert max(summary.engine_crashes for summary, _ in runs) <= 4
+    shares = [served_share(summary) / served_share(baseline) for summary, baseline in runs]
     assert statistics.mean(shares) >= 0.98
--- a/tests/test_model/test_model_pattern.py
+++ b/tests/test_model/test_model_pattern.py
@@ -1,4 +1,4 @@
-"""Patterns as files: what is read, and what is wrong with them."""
+"""Parsing of pattern files, and the findings on invalid ones."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 
 @pytest.mark.parametrize('path', sorted(PATTERNS.glob('*.ini')), ids=lambda path: path.stem)
-def test_patterns_of_the_bench_are_read(path):
+def test_bench_patterns_are_valid(path):
     pattern = read_pattern(path.read_text(), path=str(path))
-    assert pattern.table().routes
+    assert pattern.route_table().routes
 
 
 def test_burst_holds_for_its_time_only():
     pattern = read_pattern(GOOD, path='p')
-    assert [pattern.rate('r', now) for now in (2, 3, 4.9, 5)] == [2, 10, 10, 2]
+    assert [pattern.rate_at('r', now) for now in (2, 3, 4.9, 5)] == [2, 10, 10, 2]
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
         ('[event e]\nkind = storm\nat = 1', 'storm'),
     ],
 )
-def test_what_is_wrong_is_said_with_its_place(text, message):
+def test_invalid_pattern_is_reported_with_its_cause(text, message):
     with pytest.raises(FindingsError, match=message):
         read_pattern(text, path='p.ini')
 
@@ -66,8 +66,8 @@
     assert len(raised.value.findings) == 2
 
 
-def test_drawn_amounts_have_the_mean_and_the_bound():
-    dice = random.Random(1)
-    drawn = [Amount(mean=10, spread=0.5, most=30).draw(dice) for _ in range(4000)]
+def test_drawn_amounts_have_the_given_mean_and_maximum():
+    rng = random.Random(1)
+    drawn = [Amount(mean=10, spread=0.5, most=30).draw(rng) for _ in range(4000)]
     assert statistics.mean(drawn) == pytest.approx(10, rel=0.05)
     assert max(drawn) <= 30
--- a/tests/test_model/test_model_servers.py
+++ b/tests/test_model/test_model_servers.py
@@ -1,4 +1,4 @@
-"""Stage servers and engines of the model behave as real ones are described."""
+"""Simulated stage servers: call duration, queue, result capacity and expiry."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ringseam.gateway.stages.calls import FullError
 from ringseam.gateway.stages.jobs import Piece, PieceJob, StageCall
 from ringseam.model.pattern import ServiceLoad
-from ringseam.model.stageservers import Results, StageServer
+from ringseam.model.stageservers import ResultStore, StageServer
 from ringseam.model.virtualtime import run_virtual
 from ringseam.platform.stages import PieceFault
 from ringseam.routes import ServiceName
@@ -21,17 +21,17 @@
 )
 
 
-def server(clock):
+def create_server(clock):
     return StageServer(
         report=REPORT,
         load=LOAD,
         clock=clock,
-        others=Results(clock=clock, zone_s=0.001),
-        work_of=lambda piece: 1,
+        result_store=ResultStore(clock=clock, zone_s=0.001),
+        relative_cost_of=lambda piece: 1,
     )
 
 
-def call(pieces=2, *, size=1000, inputs=(), deadline=100.0):
+def create_call(pieces=2, *, size=1000, inputs=(), deadline=100.0):
     job = PieceJob(
         attempt_id='r',
         service=ServiceName('s'),
@@ -44,28 +44,28 @@
         rank=0,
         result_bytes=size,
     )
-    made = [Piece(job=job, number=number, arrival=number) for number in job.pieces]
-    return StageCall(server=REPORT, pieces=made, expected_s=0.3)
+    batch = [Piece(job=job, number=number, arrival=number) for number in job.pieces]
+    return StageCall(server=REPORT, pieces=batch, expected_s=0.3)
 
 
-def faults(made):
-    return [result.fault for result in made]
+def faults(results):
+    return [result.fault for result in results]
 
 
-def test_call_takes_its_time_and_that_of_its_pieces():
+def test_call_duration_has_a_fixed_part_and_one_per_piece():
     async def main(clock):
-        made = await server(clock).run(call(pieces=3))
-        return faults(made), clock.now()
+        results = await create_server(clock).run(create_call(pieces=3))
+        return faults(results), clock.now()
 
     found, took_s = run_virtual(main)
     assert found == [None] * 3
     assert took_s == pytest.approx(0.35)
 
 
-def test_calls_take_turns_and_a_long_queue_is_refused():
+def test_calls_run_one_at_a_time_and_a_full_queue_refuses():
     async def main(clock):
-        busy = server(clock)
-        calls = [asyncio.ensure_future(busy.run(call())) for _ in range(3)]
+        busy = create_server(clock)
+        calls = [asyncio.ensure_future(busy.run(create_call())) for _ in range(3)]
         done = await asyncio.gather(*calls, return_exceptions=True)
         return [isinstance(end, FullError) for end in done], clock.now()
 
@@ -74,12 +74,12 @@
     assert took_s == pytest.approx(0.6)
 
 
-def test_room_is_taken_until_results_are_given_up():
+def test_capacity_is_used_until_results_are_released():
     async def main(clock):
-        only = server(clock)
-        first = await only.run(call(pieces=3, size=400_000))
-        only.free(first[0].handle)
-        second = await only.run(call(pieces=1, size=400_000))
+        stage_server = create_server(clock)
+        first = await stage_server.run(create_call(pieces=3, size=400_000))
+        stage_server.release(first[0].handle)
+        second = await stage_server.run(create_call(pieces=1, size=400_000))
         return faults(first), faults(second)
 
     first, second = run_virtual(main)
@@ -87,19 +87,19 @@
     assert second == [None]
 
 
-def test_results_expire_and_later_calls_miss_them():
+def test_results_expire_and_later_calls_fail_without_them():
     async def main(clock):
-        only = server(clock)
-        first = await only.run(call(pieces=1))
+        stage_server = create_server(clock)
+        first = await stage_server.run(create_call(pieces=1))
         await asyncio.sleep(LOAD.keep_s + 0.1)
-        return faults(await only.run(call(pieces=1, inputs=(first[0].handle,))))
+        return faults(await stage_server.run(create_call(pieces=1, inputs=(first[0].handle,))))
 
     assert run_virtual(main) == [PieceFault.input_lost]
 
 
-def test_piece_whose_time_is_over_at_its_turn_is_not_made():
+def test_piece_past_its_deadline_is_not_run():
     async def main(clock):
-        only = server(clock)
-        return faults(await only.run(call(pieces=1, deadline=-1)))
+        stage_server = create_server(clock)
+        return faults(await stage_server.run(create_call(pieces=1, deadline=-1)))
 
     assert run_virtual(main) == [PieceFault.late]
--- a/tests/test_model/test_model_virtualtime.py
+++ b/tests/test_model/test_model_virtualtime.py
@@ -1,4 +1,4 @@
-"""Virtual time: timers fire in order, nothing passes in between."""
+"""Virtual time: timers fire in order, without real waiting."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
         await asyncio.sleep(3600)
         return clock.now()
 
-    begun = time.perf_counter()
+    started = time.perf_counter()
     assert run_virtual(main) == pytest.approx(3600)
-    assert time.perf_counter() - begun < 5
+    assert time.perf_counter() - started < 5
 
 
 def test_timers_fire_in_order():
@@ -34,7 +34,7 @@
     assert run_virtual(main) == [(1, 1), (2, 2), (3, 3)]
 
 
-def test_tasks_that_nothing_wakes_are_an_error():
+def test_tasks_waiting_without_a_timer_raise_an_error():
     async def main(clock):
         await asyncio.Event().wait()
 
