--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -58,7 +58,7 @@
     system.start()
     system.apply(PART_FILE, expect=0)
     for name in ENTRIES:
-        system.await_ready(name)
+        system.wait_until_ready(name)
     return system
 
 
@@ -118,12 +118,12 @@
             time.sleep(dice.uniform(0, 0.5))
             system.start(name)
         elif kind == 'freeze':
-            system.send(name, signal.SIGSTOP)
+            system.send_signal(name, signal.SIGSTOP)
             time.sleep(dice.uniform(0.3, 2))
-            system.send(name, signal.SIGCONT)
+            system.send_signal(name, signal.SIGCONT)
         else:
             others = [other for other in CONTROL if other != name]
-            system.cut(name, *others)
+            system.partition(name, *others)
             time.sleep(dice.uniform(0.5, 2))
             system.heal()
         time.sleep(dice.uniform(0.5, 1.5))
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -74,7 +74,7 @@
     for version in range(1, CHANGES + 1):
         body = document(version, count)
         size = len(body)
-        await platform.until(200, 'http', 'PUT', '/api/config', body)
+        await platform.call_until(200, 'http', 'PUT', '/api/config', body)
     await in_force(platform, CHANGES)
     return size, peak_mb(platform.running['control']), peak_mb(platform.running['gateway'])
 
@@ -88,7 +88,7 @@
             try:
                 rows.append((count, *asyncio.run(measure(platform, count))))
             finally:
-                platform.end()
+                platform.close()
         print('{:6} routes {:9} bytes, control {:.1f} MB, gateway {:.1f} MB'.format(*rows[-1]))
     for name, column in (('control', 2), ('gateway', 3)):
         points = [(row[1] / MB, row[column]) for row in rows]
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -129,12 +129,12 @@
     """Start all processes and wait until each entry answers."""
     system.start()
     system.apply(FILE, expect=0)
-    system.await_agents(len(READERS + RANKERS + SIGNALS))
+    system.wait_for_agents(len(READERS + RANKERS + SIGNALS))
     for entry in ENTRIES:
-        system.await_ready(entry)
+        system.wait_until_ready(entry)
         for _ in range(8):
-            system.post_whole('two', b'warm-up', entry=entry, token='small')
-        system.post_whole('signal', b'warm-up', entry=entry, key=entry, token='floor')
+            system.post_until_success('two', b'warm-up', entry=entry, token='small')
+        system.post_until_success('signal', b'warm-up', entry=entry, key=entry, token='floor')
 
 
 def mix(name, pipeline, token, rate, *, keyed=False, burst=(0, 0, 1)):
@@ -174,12 +174,12 @@
 
 
 def slow_server(system, ending):
-    system.faults('reader-1', latency_ms=10 * SERVICE_MS)
+    system.set_faults('reader-1', latency_ms=10 * SERVICE_MS)
     ending.wait()
 
 
 def failing_server(system, ending):
-    system.faults('reader-1', failure_percent=100, latency_ms=0)
+    system.set_faults('reader-1', failure_percent=100, latency_ms=0)
     ending.wait()
 
 
@@ -198,7 +198,7 @@
             return
         assert system.stop(name) == 0
         system.start(name)
-        system.await_ready(name)
+        system.wait_until_ready(name)
     ending.wait()
 
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -493,14 +493,14 @@
         elif kind == 'stop':
             await self.restart(name, signal.SIGTERM)
         elif kind == 'freeze':
-            self.system.send(name, signal.SIGSTOP)
+            self.system.send_signal(name, signal.SIGSTOP)
             await asyncio.sleep(self.dice.uniform(0.3, 1.5))
-            self.system.send(name, signal.SIGCONT)
+            self.system.send_signal(name, signal.SIGCONT)
         elif kind == 'suspend':
             stopped_s = self.dice.uniform(0.5, 3)
-            self.system.send(name, signal.SIGSTOP)
+            self.system.send_signal(name, signal.SIGSTOP)
             await asyncio.sleep(stopped_s)
-            self.system.resume(name, stopped_s)
+            self.system.resume_after_suspension(name, stopped_s)
         elif kind == 'ending':
             content = f'{ENDING}{len(self.insisting)}'
             way = self.dice.choice(('plain', 'stream', 'piece'))
--- a/bench/speed.py
+++ b/bench/speed.py
@@ -36,8 +36,8 @@
     system.layout.add_entry('entry')
     system.start()
     system.apply(UNLIMITED, expect=0)
-    system.await_ready()
-    system.post_whole('two')
+    system.wait_until_ready()
+    system.post_until_success('two')
     return system
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, settings
 
 from ringseam.layout import Layout, token_digest
-from tests.knownred import known_tests, mark_known
+from tests.knownfailures import load_known_failures, mark_expected_failures
 from tests.processes import System
 
 settings.register_profile(
@@ -66,7 +66,7 @@
 
 def pytest_collection_modifyitems(items):
     """Pass over the tests that are known to fail, and print them (option -ra)."""
-    mark_known(items, known_tests())
+    mark_expected_failures(items, load_known_failures())
 
 
 @pytest.fixture
@@ -78,13 +78,13 @@
 @pytest.fixture
 def system(tmp_path):
     """Return a system whose processes end with the test."""
-    made = System(layout=Layout(folder=tmp_path / 'system'))
-    yield made
-    made.close()
+    created = System(layout=Layout(folder=tmp_path / 'system'))
+    yield created
+    created.close()
 
 
 @pytest.fixture
-def whole_system(system):
+def running_system(system):
     """Return a running system: three control hosts, two entries, two servers."""
     layout = system.layout
     layout.add_control(3)
@@ -94,9 +94,9 @@
     layout.add_entry('other')
     system.start()
     system.apply(PART_FILE, expect=0)
-    system.await_ready()
-    system.await_ready('other')
+    system.wait_until_ready()
+    system.wait_until_ready('other')
     for entry in ('entry', 'other'):
-        system.post_whole('two', b'warm-up', entry=entry)
-        system.post_whole('signal', b'warm-up', entry=entry, key=f'warm-up-{entry}')
+        system.post_until_success('two', b'warm-up', entry=entry)
+        system.post_until_success('signal', b'warm-up', entry=entry, key=f'warm-up-{entry}')
     return system
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -20,21 +20,21 @@
 from ringseam.node import Node
 from ringseam.rpc import CallClient
 from ringseam.services import APPLY, STATUS
-from tests.suspendable import SKIP, SKIP_S
+from tests.suspendable import SUSPEND_SIGNAL, SUSPEND_STEP_S
 
-WAIT_S = 30
-STEP_S = 0.02
+TIMEOUT_S = 30
+POLL_INTERVAL_S = 0.02
 
 
-def eventually(check, *, within_s=WAIT_S, what='the condition'):
-    """Return the first true value of ``check``; fail after ``within_s``."""
-    until = time.monotonic() + within_s
-    while time.monotonic() < until:
-        found = check()
-        if found:
-            return found
-        time.sleep(STEP_S)
-    raise AssertionError(f'{what} did not come within {within_s} s')
+def eventually(check, *, timeout_s=TIMEOUT_S, what='the condition'):
+    """Return the first true value of ``check``; fail after ``timeout_s``."""
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
+        result = check()
+        if result:
+            return result
+        time.sleep(POLL_INTERVAL_S)
+    raise AssertionError(f'{what} did not come within {timeout_s} s')
 
 
 @dataclass
@@ -47,24 +47,24 @@
 
     def start(self, *names):
         for name in names or self.layout.processes:
-            planned = self.layout.processes[name]
-            command = [sys.executable, '-m', self.program, planned.role, '--settings']
+            process = self.layout.processes[name]
+            command = [sys.executable, '-m', self.program, process.role, '--settings']
             errors = (self.layout.folder / f'{name}.err').open('ab')
             self.running[name] = subprocess.Popen(
-                [*command, str(planned.settings)],
+                [*command, str(process.settings)],
                 stdout=errors,
                 stderr=errors,
             )
             errors.close()
 
-    def send(self, name, number):
+    def send_signal(self, name, number):
         self.running[name].send_signal(number)
 
-    def resume(self, name, stopped_s):
+    def resume_after_suspension(self, name, stopped_s):
         """Let a stopped process go on as after a suspension of its host."""
-        for _ in range(round(stopped_s / SKIP_S)):
-            self.send(name, SKIP)
-        self.send(name, signal.SIGCONT)
+        for _ in range(round(stopped_s / SUSPEND_STEP_S)):
+            self.send_signal(name, SUSPEND_SIGNAL)
+        self.send_signal(name, signal.SIGCONT)
 
     def kill(self, *names):
         for name in names:
@@ -72,22 +72,22 @@
             process.kill()
             process.wait()
 
-    def stop(self, name, within_s=WAIT_S):
+    def stop(self, name, timeout_s=TIMEOUT_S):
         """Stop as planned and return the exit code."""
         process = self.running.pop(name)
         process.send_signal(signal.SIGTERM)
-        return process.wait(within_s)
+        return process.wait(timeout_s)
 
-    def cut(self, name, *others, both=True):
+    def partition(self, name, *others, both=True):
         """Silently cut ``name`` off from ``others``; none: heal it."""
-        planned = self.layout.processes
+        processes = self.layout.processes
         (self.layout.folder / f'{name}.drill').write_text(
-            ' '.join(planned[other].address for other in others),
+            ' '.join(processes[other].address for other in others),
         )
         if both:
             for other in others:
                 path = self.layout.folder / f'{other}.drill'
-                path.write_text(planned[name].address)
+                path.write_text(processes[name].address)
         # Each process reads its file again only now and then; before that, the
         # cut is not in force and messages still pass.
         time.sleep(2 * REREAD_INTERVAL_S)
@@ -106,22 +106,22 @@
 
     # -- calls ---------------------------------------------------------------
 
-    def call(self, work):
-        """Run ``work(control_client)`` on an event loop of its own."""
+    def call(self, operation):
+        """Run ``operation(control_client)`` on an event loop of its own."""
         secret = self.layout.key_file.read_bytes().strip()[:64]
 
-        async def connected():
+        async def run():
             client = CallClient(
                 node=Node(name='test', role='operator', address='', secret=secret),
             )
             try:
-                return await work(ControlClient(client=client, addresses=self.layout.control))
+                return await operation(ControlClient(client=client, addresses=self.layout.control))
             finally:
                 client.close()
 
-        return asyncio.run(connected())
+        return asyncio.run(run())
 
-    def apply(self, text, *, expect, part='demo', timeout_s=WAIT_S):
+    def apply(self, text, *, expect, part='demo', timeout_s=TIMEOUT_S):
         request = ApplyRequest(
             part=part,
             text=text,
@@ -161,7 +161,7 @@
 
         return eventually(find, what='a leader')
 
-    def await_agents(self, count):
+    def wait_for_agents(self, count):
         eventually(
             lambda: any(
                 sum(state.serving for state in status.agents) >= count
@@ -170,7 +170,7 @@
             what=f'{count} serving agents',
         )
 
-    def await_ready(self, entry='entry'):
+    def wait_until_ready(self, entry='entry'):
         """Wait until the entry holds a configuration and sees agents."""
         eventually(lambda: self.get(entry, '/readyz').status == 200, what='readiness')
 
@@ -198,14 +198,14 @@
             timeout=timeout,
         )
 
-    def post_whole(self, pipeline, body=b'x', **named):
+    def post_until_success(self, pipeline, body=b'x', **options):
         """Post until the answer is whole: for starting up only."""
         return eventually(
-            lambda: _whole(self.post(pipeline, body, **named)),
+            lambda: _completed(self.post(pipeline, body, **options)),
             what=f'a whole answer of {pipeline}',
         )
 
-    def faults(self, server, **faults):
+    def set_faults(self, server, **faults):
         """Change the faults of a stand-in."""
         reply = urllib3.request(
             'POST',
@@ -225,9 +225,13 @@
         """Return the logged events of one process."""
         path = self.layout.folder / f'{name}.log'
         lines = path.read_text().splitlines() if path.exists() else []
-        rows = [json.loads(line) for line in lines if line.startswith('{')]
-        return [row for row in rows if row.get('event_name') and event in row['event_name']]
+        records = [json.loads(line) for line in lines if line.startswith('{')]
+        return [
+            record
+            for record in records
+            if record.get('event_name') and event in record['event_name']
+        ]
 
 
-def _whole(reply):
+def _completed(reply):
     return reply if reply.status == 200 else None
--- a/tests/suspendable.py
+++ b/tests/suspendable.py
@@ -1,7 +1,7 @@
 """``ringseam`` on a host that can be suspended: ``python -m tests.suspendable ROLE ...``.
 
 A suspension is a stop that the monotonic clock doesn't count. The process is stopped by
-a signal, and for each tenth of a second of that it is sent :data:`SKIP` before it goes on.
+a signal and sent SUSPEND_SIGNAL for each tenth of a second before it goes on.
 """
 
 from __future__ import annotations
@@ -9,24 +9,24 @@
 import signal
 import time
 
-SKIP = signal.SIGRTMIN
-SKIP_S = 0.1
+SUSPEND_SIGNAL = signal.SIGRTMIN
+SUSPEND_STEP_S = 0.1
 
 
-def install():
+def simulate_suspensions():
     """Take the time of suspensions off the monotonic clock; the boot clock stays true."""
-    skipped = [0.0]
-    real = time.monotonic
+    suspended_s = [0.0]
+    unmodified = time.monotonic
 
-    def skip(*_):
-        skipped[0] += SKIP_S
+    def record_suspension(*_):
+        suspended_s[0] += SUSPEND_STEP_S
 
-    signal.signal(SKIP, skip)
-    time.monotonic = lambda: real() - skipped[0]
+    signal.signal(SUSPEND_SIGNAL, record_suspension)
+    time.monotonic = lambda: unmodified() - suspended_s[0]
 
 
 if __name__ == '__main__':
-    install()
+    simulate_suspensions()
     from ringseam.cmd.main import run
 
     run()
--- a/tests/suspension.py
+++ b/tests/suspension.py
@@ -7,18 +7,18 @@
 from ringseam import clock
 
 
-class Suspension:
+class SimulatedSuspension:
     """Lets the steady clock jump as it does over a suspension; the monotonic one doesn't."""
 
     def __init__(self, monkeypatch):
-        self.slept_s = 0
-        real = time.clock_gettime
+        self.suspended_s = 0
+        unmodified = time.clock_gettime
 
-        def gettime(which):
-            skipped = self.slept_s if which == time.CLOCK_BOOTTIME else 0
-            return real(which) + skipped
+        def gettime(clock_id):
+            offset_s = self.suspended_s if clock_id == time.CLOCK_BOOTTIME else 0
+            return unmodified(clock_id) + offset_s
 
         monkeypatch.setattr(clock.time, 'clock_gettime', gettime)
 
-    def last(self, seconds):
-        self.slept_s += seconds
+    def advance(self, seconds):
+        self.suspended_s += seconds
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -13,7 +13,7 @@
 
 import ringseam
 from ringseam.clock import MAX_SELECT_WAIT_S, RuntimeClock, boottime, run_loop
-from tests.suspension import Suspension
+from tests.suspension import SimulatedSuspension
 
 PACKAGE = Path(ringseam.__file__).parent
 #: Functions that read a clock that stops while the host is suspended.
@@ -22,14 +22,14 @@
 
 @pytest.fixture
 def suspension(monkeypatch):
-    return Suspension(monkeypatch)
+    return SimulatedSuspension(monkeypatch)
 
 
 def test_clock_and_loop_both_count_a_suspension(suspension):
     async def times():
         loop = asyncio.get_running_loop()
         before = (RuntimeClock().now(), loop.time(), time.monotonic())
-        suspension.last(5)
+        suspension.advance(5)
         after = (RuntimeClock().now(), loop.time(), time.monotonic())
         return [late - early for early, late in zip(before, after, strict=True)]
 
@@ -41,7 +41,7 @@
 
 def test_timer_that_expired_in_a_suspension_fires_soon(suspension):
     async def wait():
-        suspended = asyncio.get_running_loop().call_later(0.01, suspension.last, 30)
+        suspended = asyncio.get_running_loop().call_later(0.01, suspension.advance, 30)
         started = time.monotonic()
         await asyncio.sleep(30)
         suspended.cancel()
@@ -52,7 +52,7 @@
 
 def test_timeout_that_expired_in_a_suspension_ends_the_wait(suspension):
     async def wait():
-        asyncio.get_running_loop().call_later(0.01, suspension.last, 30)
+        asyncio.get_running_loop().call_later(0.01, suspension.advance, 30)
         async with asyncio.timeout(20):
             await asyncio.Event().wait()
 
--- a/tests/test_deploy/test_deploy_days.py
+++ b/tests/test_deploy/test_deploy_days.py
@@ -10,12 +10,14 @@
 
 ROOT = Path(__file__).parent.parent.parent
 DAYS = sorted((ROOT / 'deploy' / 'days').glob('*.toml'))
-KINDS = tomllib.loads((ROOT / 'bench' / 'days' / 'kinds.toml').read_text())
+ENTRY_KINDS = tomllib.loads((ROOT / 'bench' / 'days' / 'kinds.toml').read_text())
 #: Contents that end servers are played besides what a deployment lists.
-KNOWN = {entry['kind'] for part in ('plan', 'faults') for entry in KINDS[part]} | {'poison'}
+KNOWN_KINDS = {entry['kind'] for part in ('plan', 'faults') for entry in ENTRY_KINDS[part]} | {
+    'poison'
+}
 #: Entries that have a place name it by the deployment's first one.
-PLACES = {'class': '@c0', 'service': '@s0', 'zone': '@z0', 'to_zone': '@z0'}
-LENGTH_S = 34.0
+PLACEHOLDERS = {'class': '@c0', 'service': '@s0', 'zone': '@z0', 'to_zone': '@z0'}
+DAY_LENGTH_S = 34.0
 
 
 @pytest.mark.parametrize('path', DAYS, ids=[path.stem for path in DAYS])
@@ -25,13 +27,13 @@
     assert day['closing']['down_s'] < 5
     assert 'traffic' not in day
     for entry in [*day['plan'], *day['faults']]:
-        assert entry['kind'] in KNOWN
-        assert 0 <= entry['at'] < LENGTH_S
-        for key, place in PLACES.items():
-            assert entry.get(key, place) == place
+        assert entry['kind'] in KNOWN_KINDS
+        assert 0 <= entry['at'] < DAY_LENGTH_S
+        for key, placeholder in PLACEHOLDERS.items():
+            assert entry.get(key, placeholder) == placeholder
 
 
-def test_there_are_days_of_the_faults_that_were_seen():
+def test_days_cover_the_observed_faults():
     texts = ' '.join(path.read_text(encoding='utf-8') for path in DAYS)
     for kind in (
         'big_config',
--- a/tests/test_deploy/test_deploy_settings.py
+++ b/tests/test_deploy/test_deploy_settings.py
@@ -14,7 +14,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 ROLES = ('gateway', 'control')
-_PLACE = re.compile(r'\{\{([a-z_.0-9]+)\}\}')
+_PLACEHOLDER = re.compile(r'\{\{([a-z_.0-9]+)\}\}')
 #: A table of which each entry is written as its key, a sign and its value.
 _TABLE = re.compile(r'\{\{#([a-z_]+)\}\}\{\{@\}\}=\{\{\.\}\}\{\{,\}\}\{\{/\1\}\}')
 _SECTION = re.compile(r'\{\{([#^])([a-z_.0-9]+)\}\}(.*?)\{\{/\2\}\}')
@@ -22,7 +22,7 @@
 ZONES = {'hall-a': 'thies', 'server room': 'thies', 'Klang': 'selangor'}
 
 #: Settings of the platform that name places; their figures are drawn.
-PLACES = {
+PLATFORM_VALUES = {
     'node_name': 'front-hall-a-1',
     'zone': 'hall-a',
     'region': 'thies',
@@ -38,46 +38,46 @@
 }
 
 
-def figures(low, high):
+def number_texts(low, high):
     """Draw whole numbers and fractions, as text."""
-    whole = st.integers(low, high)
+    integers = st.integers(low, high)
     fractions = st.floats(low, high, allow_nan=False, width=32)
-    return st.one_of(whole, fractions).map(str)
+    return st.one_of(integers, fractions).map(str)
 
 
-DRAWN = st.fixed_dictionaries(
+DRAWN_VALUES = st.fixed_dictionaries(
     {
-        'bounds.retry_slack': figures(0, 100_000),
-        'bounds.retry_ratio': figures(0, 3),
-        'bounds.retry_window_s': figures(0, 600),
-        'bounds.grace_s': figures(0, 600),
-        'bounds.cold_over': st.one_of(st.just(''), figures(0, 100)),
-        'bounds.cold_slack': st.one_of(st.just(''), figures(0, 1000)),
-        'heartbeat_ms': figures(100, 60_000),
+        'bounds.retry_slack': number_texts(0, 100_000),
+        'bounds.retry_ratio': number_texts(0, 3),
+        'bounds.retry_window_s': number_texts(0, 600),
+        'bounds.grace_s': number_texts(0, 600),
+        'bounds.cold_over': st.one_of(st.just(''), number_texts(0, 100)),
+        'bounds.cold_slack': st.one_of(st.just(''), number_texts(0, 1000)),
+        'heartbeat_ms': number_texts(100, 60_000),
         'fault_tolerance.machines': st.integers(0, 10).map(str),
         'bootstrap': st.sampled_from(('true', 'false')),
     },
 )
 
 
-def rendered(role, known):
+def render_template(role, platform_values):
     """Fill in a template by the platform's rules for values and yes/no sections."""
     text = (ROOT / 'deploy' / f'{role}.ini').read_text(encoding='utf-8')
 
-    def chosen(match):
+    def replace_section(match):
         sign, name, inner = match.groups()
-        return inner if (known.get(name) == 'true') == (sign == '#') else ''
+        return inner if (platform_values.get(name) == 'true') == (sign == '#') else ''
 
-    def listed(match):
+    def replace_table(match):
         assert match[1] == 'zones'
         return ','.join(f'{zone}={region}' for zone, region in ZONES.items())
 
-    text = _SECTION.sub(chosen, _TABLE.sub(listed, text))
-    return _PLACE.sub(lambda match: known[match[1]], text)
+    text = _SECTION.sub(replace_section, _TABLE.sub(replace_table, text))
+    return _PLACEHOLDER.sub(lambda match: platform_values[match[1]], text)
 
 
 @pytest.mark.parametrize('role', ROLES)
-@given(drawn=DRAWN)
+@given(drawn=DRAWN_VALUES)
 @example(
     drawn={
         'bounds.retry_slack': '38.26086956521739',
@@ -91,9 +91,11 @@
         'bootstrap': 'false',
     },
 )
-def test_any_figures_of_the_platform_are_read(role, drawn):
+def test_any_numbers_of_the_platform_are_accepted(role, drawn):
     """Lost a whole day of a fleet: a slack with a fraction ended every gateway."""
-    settings = read_settings(role, rendered(role, PLACES | drawn), path='settings.conf')
+    settings = read_settings(
+        role, render_template(role, PLATFORM_VALUES | drawn), path='settings.conf'
+    )
     assert settings.process['zones'] == ZONES
     if role == 'gateway':
         assert settings.role_options['retry_slack'] == float(drawn['bounds.retry_slack'])
@@ -109,8 +111,8 @@
 
 
 @pytest.mark.parametrize('text', ['many', 'nan', 'inf', '-1', '1e400', '0,2'])
-def test_figure_that_can_not_be_used_is_a_finding_with_its_line(text):
-    known = PLACES | {
+def test_unusable_number_is_a_finding_with_its_line(text):
+    platform_values = PLATFORM_VALUES | {
         'bounds.retry_slack': text,
         'bounds.retry_ratio': '0.2',
         'bounds.retry_window_s': '10',
@@ -120,7 +122,7 @@
         'fault_tolerance.machines': '2',
     }
     with pytest.raises(FindingsError) as caught:
-        read_settings('gateway', rendered('gateway', known), path='settings.conf')
+        read_settings('gateway', render_template('gateway', platform_values), path='settings.conf')
     finding = caught.value.findings[0]
     assert finding.key == 'retry_slack'
     assert finding.line > 0
--- a/tests/test_docs/test_docs_pages.py
+++ b/tests/test_docs/test_docs_pages.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize('page', PAGES, ids=[page.name for page in PAGES])
-def test_links_lead_somewhere(page):
+def test_links_have_targets(page):
     for target in re.findall(r'<([\w./-]+\.(?:rst|md))>`_', page.read_text(encoding='utf-8')):
         assert (page.parent / target).exists(), target
 
--- a/tests/test_examples/test_examples_files.py
+++ b/tests/test_examples/test_examples_files.py
@@ -13,32 +13,34 @@
 EXAMPLES = Path(__file__).parent.parent.parent / 'examples'
 
 
-def accepted(part, revision):
+def accepted_file(part, revision):
     text = (EXAMPLES / f'{part}.ini').read_text(encoding='utf-8')
     return AcceptedFile(part=part, text=text, apply_id='', revision=revision)
 
 
 @pytest.mark.parametrize('part', ['thies', 'voltara'])
-def test_no_findings(part):
-    assert read_part(accepted(part, 1).text, path=part).name == part
+def test_example_has_no_findings(part):
+    assert read_part(accepted_file(part, 1).text, path=part).name == part
 
 
-def test_both_parts_together():
-    both = Configuration().updated(2, [accepted('voltara', 1), accepted('thies', 2)])
-    for part in both.parts.values():
-        assert both.grant_findings(part, path='') == []
+def test_both_parts_are_consistent():
+    configuration = Configuration().updated(
+        2, [accepted_file('voltara', 1), accepted_file('thies', 2)]
+    )
+    for part in configuration.parts.values():
+        assert configuration.grant_findings(part, path='') == []
         assert len(part.accounts) == 5
-    assert both.pipeline('thies/reject').needs_key
-    assert both.pipeline('voltara/swap').needs_key
+    assert configuration.pipeline('thies/reject').needs_key
+    assert configuration.pipeline('voltara/swap').needs_key
 
 
-def test_use_without_the_grant_is_a_finding():
-    alone = Configuration().updated(1, [accepted('thies', 1)])
-    findings = alone.grant_findings(alone.parts['thies'], path='thies.ini')
+def test_stage_without_a_pool_grant_is_a_finding():
+    without_grant = Configuration().updated(1, [accepted_file('thies', 1)])
+    findings = without_grant.grant_findings(without_grant.parts['thies'], path='thies.ini')
     assert [finding.section for finding in findings] == ['stage explain-defects']
 
 
-def test_load_example():
+def test_load_example_schedule_is_deterministic():
     plan = read_plan((EXAMPLES / 'load.ini').read_text(encoding='utf-8'), path='load.ini')
     assert schedule(plan) == schedule(plan)
     assert len(schedule(plan)) > 50
--- a/tests/test_system/test_system_control.py
+++ b/tests/test_system/test_system_control.py
@@ -48,7 +48,7 @@
     return []
 
 
-def await_repair(system, before):
+def wait_for_repair(system, before):
     """Wait until three voters stand again, one of them new."""
     eventually(
         lambda: len(now := voters(system)) == 3 and now != before,
@@ -56,13 +56,13 @@
     )
 
 
-def lose_folder(system, name):
+def restart_without_data(system, name):
     system.kill(name)
     shutil.rmtree(system.layout.processes[name].data_dir)
     system.start(name)
 
 
-def test_racing_operators_one_wins(control, part_file):
+def test_concurrent_applies_accept_exactly_one(control, part_file):
     texts = [f'{part_file}\n# operator {number}\n' for number in range(4)]
     with ThreadPoolExecutor(4) as pool:
         replies = list(pool.map(lambda text: control.apply(text, expect=1), texts))
@@ -74,12 +74,12 @@
 
 def test_resend_after_restart_and_newer_versions(control, part_file):
     second = f'{part_file}\n# second\n'
-    first_answer = control.apply(second, expect=1)
+    first_reply = control.apply(second, expect=1)
     control.apply(f'{part_file}\n# third\n', expect=2)
     control.kill(*CONTROL)
     control.start(*CONTROL)
     again = control.apply(second, expect=1)
-    assert (again.revision, again.resent, again.newest) == (first_answer.revision, True, 3)
+    assert (again.revision, again.resent, again.newest) == (first_reply.revision, True, 3)
     # A host that has just started applies what is committed once it hears the leader.
     eventually(
         lambda: [status.parts.get('demo') for status in control.statuses().values()] == [3] * 3,
@@ -98,55 +98,55 @@
     assert control.apply(f'{part_file}\n# b\n', expect=2).revision == 3
 
 
-def test_frozen_leader_wakes(control, part_file):
-    frozen = control.leader()
-    control.send(frozen, signal.SIGSTOP)
+def test_resumed_leader_becomes_follower(control, part_file):
+    paused = control.leader()
+    control.send_signal(paused, signal.SIGSTOP)
     assert control.apply(f'{part_file}\n# while frozen\n', expect=1, timeout_s=20).revision == 2
-    control.send(frozen, signal.SIGCONT)
+    control.send_signal(paused, signal.SIGCONT)
     eventually(
         lambda: (
-            control.statuses()[frozen].role == 'follower'
-            and control.statuses()[frozen].revision == 2
+            control.statuses()[paused].role == 'follower'
+            and control.statuses()[paused].revision == 2
         ),
         what='the woken leader to follow',
     )
 
 
-def test_silent_cut_of_a_replica(control, part_file):
+def test_silently_partitioned_replica_catches_up(control, part_file):
     leader = control.leader()
-    cut = next(name for name in CONTROL if name != leader)
-    control.cut(cut, *(name for name in CONTROL if name != cut))
+    isolated = next(name for name in CONTROL if name != leader)
+    control.partition(isolated, *(name for name in CONTROL if name != isolated))
     term = control.statuses()[leader].term
     for number in range(1, 6):
         control.apply(f'{part_file}\n# {number}\n', expect=number)
     time.sleep(2)  # the cut lasts several election timeouts
-    stale = control.statuses()[cut]
+    stale = control.statuses()[isolated]
     assert (stale.role != 'leader', stale.revision) == (True, 1)
     control.heal()
-    eventually(lambda: control.statuses()[cut].revision == 6, what='catching up')
+    eventually(lambda: control.statuses()[isolated].revision == 6, what='catching up')
     after = control.statuses()[leader]
     assert (after.role, after.term) == ('leader', term)
 
 
-def test_lost_folder_repaired_then_second_lost(control, part_file):
+def test_group_recovers_from_successive_lost_folders(control, part_file):
     for number in range(1, 4):
         control.apply(f'{part_file}\n# {number}\n', expect=number)
     for victim in ('control-1', 'control-2'):
         before = voters(control)
-        lose_folder(control, victim)
-        await_repair(control, before)
+        restart_without_data(control, victim)
+        wait_for_repair(control, before)
     assert control.apply(f'{part_file}\n# after\n', expect=4).revision == 5
 
 
-def test_two_lost_folders_form_no_group_and_traffic_goes_on(whole_system):
+def test_two_lost_folders_form_no_group_and_traffic_continues(running_system):
     for victim in ('control-1', 'control-2'):
-        whole_system.kill(victim)
-        shutil.rmtree(whole_system.layout.processes[victim].data_dir)
-    whole_system.start('control-1', 'control-2')
+        running_system.kill(victim)
+        shutil.rmtree(running_system.layout.processes[victim].data_dir)
+    running_system.start('control-1', 'control-2')
     until = time.monotonic() + 4
     while time.monotonic() < until:
-        assert whole_system.post('two', b'still').status == 200
-    roles = {status.role for status in whole_system.statuses().values()}
+        assert running_system.post('two', b'still').status == 200
+    roles = {status.role for status in running_system.statuses().values()}
     assert 'leader' not in roles
 
 
@@ -161,93 +161,94 @@
     )
 
 
-def test_applied_is_in_force_everywhere(whole_system, part_file):
-    began = time.monotonic()
-    whole_system.apply(f'{part_file}\n# newer\n', expect=1)
+def test_applied_revision_takes_effect_everywhere(running_system, part_file):
+    started = time.monotonic()
+    running_system.apply(f'{part_file}\n# newer\n', expect=1)
 
     def in_force():
         return all(
             status.revision == 2
             and all(process.revision == 2 for process in status.processes)
             and all(state.revision == 2 for state in status.agents)
-            for status in whole_system.statuses().values()
+            for status in running_system.statuses().values()
         )
 
-    eventually(in_force, within_s=10, what='revision 2 everywhere')
-    assert time.monotonic() - began < 10
+    eventually(in_force, timeout_s=10, what='revision 2 everywhere')
+    assert time.monotonic() - started < 10
 
 
-def test_entry_cut_off_from_control_learns_from_agents(whole_system, part_file):
-    whole_system.cut('entry', *CONTROL)
-    whole_system.apply(f'{part_file}\n# newer\n', expect=1)
+def test_entry_partitioned_from_control_updates_through_agents(running_system, part_file):
+    running_system.partition('entry', *CONTROL)
+    running_system.apply(f'{part_file}\n# newer\n', expect=1)
     until = time.monotonic() + 10
     while time.monotonic() < until:
-        whole_system.post('two', b'x')
-        if any(row['revision'] == 2 for row in whole_system.events('entry', 'in_force')):
+        running_system.post('two', b'x')
+        if any(row['revision'] == 2 for row in running_system.events('entry', 'in_force')):
             return
         time.sleep(0.05)
     raise AssertionError('the entry did not learn of revision 2 through the agents')
 
 
-def test_starting_entry_that_reaches_only_a_stale_replica(whole_system, part_file):
-    leader = whole_system.leader()
+def test_starting_entry_that_reaches_only_a_stale_replica(running_system, part_file):
+    leader = running_system.leader()
     stale = next(name for name in CONTROL if name != leader)
     others = [name for name in CONTROL if name != stale]
-    whole_system.cut(stale, *others, *('reader', 'signaller'), both=False)
+    running_system.partition(stale, *others, *('reader', 'signaller'), both=False)
     for other in others:
-        address = whole_system.layout.processes[stale].address
-        (whole_system.layout.folder / f'{other}.drill').write_text(address)
-    whole_system.apply(f'{part_file}\n# newer\n', expect=1)
-    whole_system.kill('other')
-    whole_system.cut('other', *others, both=False)
-    whole_system.start('other')
+        address = running_system.layout.processes[stale].address
+        (running_system.layout.folder / f'{other}.drill').write_text(address)
+    running_system.apply(f'{part_file}\n# newer\n', expect=1)
+    running_system.kill('other')
+    running_system.partition('other', *others, both=False)
+    running_system.start('other')
     eventually(
-        lambda: len(whole_system.events('other', 'first_revision')) == 2,
+        lambda: len(running_system.events('other', 'first_revision')) == 2,
         what='the first revision of the second start',
     )
-    assert whole_system.events('other', 'first_revision')[-1]['revision'] == 1
-    whole_system.heal()
+    assert running_system.events('other', 'first_revision')[-1]['revision'] == 1
+    running_system.heal()
     eventually(
-        lambda: whole_system.events('other', 'in_force')[-1]['revision'] == 2,
+        lambda: running_system.events('other', 'in_force')[-1]['revision'] == 2,
         what='revision 2 once it is seen',
     )
 
 
 @pytest.mark.parametrize('seed', range(2))
-def test_everything_down_at_night_comes_back(whole_system, seed, part_file):
+def test_system_recovers_from_restart_in_random_order(running_system, seed, part_file):
     import random
 
-    order = list(whole_system.layout.processes)
-    first = whole_system.post('signal', b'reject 9', key='night')
-    whole_system.apply(f'{part_file}\n# before the night\n', expect=1)
-    whole_system.kill(*order)
+    order = list(running_system.layout.processes)
+    first = running_system.post('signal', b'reject 9', key='night')
+    running_system.apply(f'{part_file}\n# before the night\n', expect=1)
+    running_system.kill(*order)
     random.Random(seed).shuffle(order)
-    whole_system.start(*order)
-    whole_system.await_ready()
-    assert whole_system.post_whole('two', b'morning').data == b'morning'
+    running_system.start(*order)
+    running_system.wait_until_ready()
+    assert running_system.post_until_success('two', b'morning').data == b'morning'
     again = eventually(
         lambda: (
-            (reply := whole_system.post('signal', b'reject 9', key='night')).status == 200 and reply
+            (reply := running_system.post('signal', b'reject 9', key='night')).status == 200
+            and reply
         ),
         what='the recorded answer',
     )
     assert again.data == first.data
-    assert len(whole_system.executions('signaller', '.demo/reject')) == 3
-    assert {status.parts['demo'] for status in whole_system.statuses().values()} == {2}
+    assert len(running_system.executions('signaller', '.demo/reject')) == 3
+    assert {status.parts['demo'] for status in running_system.statuses().values()} == {2}
 
 
-def test_drained_zone_outlives_the_kill_of_all_hosts(control):
+def test_drained_zone_survives_kill_of_all_control_hosts(control):
     """By the commands of operators, also twice."""
-    planned = control.layout.processes
-    where = [
+    processes = control.layout.processes
+    connection_options = [
         '--control',
-        ','.join(planned[name].address for name in CONTROL),
+        ','.join(processes[name].address for name in CONTROL),
         '--key-file',
         str(control.layout.key_file),
     ]
 
     def run(*command):
-        done = CliRunner().invoke(app, [*command, *where, '--json'])
+        done = CliRunner().invoke(app, [*command, *connection_options, '--json'])
         assert done.exit_code == 0, done.output
         return json.loads(done.output)
 
--- a/tests/test_system/test_system_crashing.py
+++ b/tests/test_system/test_system_crashing.py
@@ -39,66 +39,66 @@
 SERVICE = 'writers'
 PATH = '/plain/'
 SERVERS = 8
-ENDING = b'ends its server'
+CRASHING_BODY = b'ends its server'
 #: A server ends this long after it has begun the request, and is back later, seconds.
-RUNS_S = 0.03
-AWAY_S = 1.5
-REPORT_S = 0.4
+CRASH_DELAY_S = 0.03
+DOWNTIME_S = 1.5
+REPORT_INTERVAL_S = 0.4
 #: Others ask this often, and the client of the request too, seconds.
-OTHERS_S = 0.025
-AGAIN_S = 0.1
-LASTS_S = 6.0
+OTHER_REQUESTS_INTERVAL_S = 0.025
+REPEAT_INTERVAL_S = 0.1
+SCENARIO_S = 6.0
 #: A verdict is in force at each gateway this long after the third end, seconds: two calls
 #: over loopback take 10 ms. The platform allows three seconds.
-IN_FORCE_S = 0.25
+QUARANTINE_DELAY_S = 0.25
 #: Servers that are ended from outside fall this far apart, seconds.
-APART_S = 0.4
-KINDS = {
+CRASH_INTERVAL_S = 0.4
+BODIES_BY_WORKLOAD = {
     'each-its-own': lambda number: b'work %d' % number,
     'forty-that-come-again': lambda number: b'work %d' % (number % 40),
 }
 
 
-class EndingServer(DirectServer):
+class CrashingServer(DirectServer):
     """A stand-in that ends shortly after it has begun to run a certain body."""
 
-    def __init__(self, *, book, **known):
-        super().__init__(**known)
-        self.book = book
-        self.up = False
+    def __init__(self, *, crash_log, **options):
+        super().__init__(**options)
+        self.crash_log = crash_log
+        self.is_up = False
 
-    async def begin(self, port=0):
+    async def listen(self, port=0):
         self.instance = backend_id(name_of(self.instance), int(time.time() * 1000))
         self.sequence = 0
         self.http = HttpServer(handler=self.serve, limits=HttpLimits())
         self.address = f'{LOOPBACK}:{await self.http.start(LOOPBACK, port)}'
-        self.up = True
+        self.is_up = True
 
-    async def end(self):
+    async def crash(self):
         """End as a killed process does: what is under way breaks off."""
-        if not self.up:
+        if not self.is_up:
             return
-        self.up = False
-        self.book.ends.append(time.monotonic())
+        self.is_up = False
+        self.crash_log.crashes.append(time.monotonic())
         self.http.stop_listening()
         for connection in list(self.http.connections):
             connection.abort()
-        await asyncio.sleep(AWAY_S)
-        await self.begin(split_address(self.address)[1])
+        await asyncio.sleep(DOWNTIME_S)
+        await self.listen(split_address(self.address)[1])
 
     async def serve(self, exchange):
-        if exchange.request.body == ENDING:
-            self.book.sends.append(time.monotonic())
-            asyncio.get_running_loop().call_later(RUNS_S, self.book.spawn, self.end())
-            await asyncio.sleep(10 * RUNS_S)
+        if exchange.request.body == CRASHING_BODY:
+            self.crash_log.sends.append(time.monotonic())
+            asyncio.get_running_loop().call_later(CRASH_DELAY_S, self.crash_log.spawn, self.crash())
+            await asyncio.sleep(10 * CRASH_DELAY_S)
         await super().serve(exchange)
 
 
-class Book:
+class CrashLog:
     """What was sent and how servers ended, by the steady clock."""
 
     def __init__(self):
-        self.ends = []
+        self.crashes = []
         self.sends = []
         self.tasks = set()
 
@@ -112,13 +112,13 @@
     """One control host, two gateways and eight servers in this process."""
 
     def __init__(self, folder):
-        self.book = Book()
+        self.crash_log = CrashLog()
         self.control = free_address()
         self.clients = [free_address(), free_address()]
         layout = Layout(folder=folder)
         port = split_address(free_address())[1]
         shared = {'seeds': self.control, 'cluster_ports': f'{port}, {port}'}
-        planned = [
+        processes = [
             layout.add(
                 'control',
                 'control-1',
@@ -128,7 +128,7 @@
                 **shared,
             ),
         ]
-        planned.extend(
+        processes.extend(
             layout.add(
                 'gateway',
                 f'gateway-{number}',
@@ -139,14 +139,18 @@
             )
             for number, address in enumerate(self.clients)
         )
-        kinds = (ControlRole, GatewayRole, GatewayRole)
+        role_classes = (ControlRole, GatewayRole, GatewayRole)
         self.roles = [
-            kind(settings=read_settings(one.role, one.settings.read_text(), path=str(one.settings)))
-            for kind, one in zip(kinds, planned, strict=True)
+            role_class(
+                settings=read_settings(
+                    process.role, process.settings.read_text(), path=str(process.settings)
+                )
+            )
+            for role_class, process in zip(role_classes, processes, strict=True)
         ]
         self.servers = [
-            EndingServer(
-                book=self.book,
+            CrashingServer(
+                crash_log=self.crash_log,
                 instance=f'i-{number}',
                 service=ServiceName(SERVICE),
                 control=self.control,
@@ -162,7 +166,7 @@
             self.stack.push_async_callback(role.close)
             await role.start()
         for server in self.servers:
-            await server.begin()
+            await server.listen()
         document = json.loads(example_manifest())
         document['routes'].append(
             {
@@ -177,26 +181,26 @@
             await self.call(self.control, 'PUT', CONFIG_PATH, json.dumps(document).encode()) != 200
         ):
             await asyncio.sleep(0.1)
-        self.book.spawn(self.report_always())
+        self.crash_log.spawn(self.report_periodically())
         while not all(len(role.follower.view.backends) == SERVERS for role in self.roles[1:]):
             await asyncio.sleep(0.05)
         return self
 
     async def __aexit__(self, *failure):
-        for task in list(self.book.tasks):
+        for task in list(self.crash_log.tasks):
             task.cancel()
         await self.stack.aclose()
         for server in self.servers:
             await server.http.close()
         self.pool.close()
 
-    async def report_always(self):
+    async def report_periodically(self):
         while True:
             for server in self.servers:
-                if server.up:
+                if server.is_up:
                     with contextlib.suppress(Exception):
                         await server.report(BackendState.ready)
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     async def call(self, address, method, path, body, headers=()):
         """Return the status; 0 when there is no answer."""
@@ -214,7 +218,7 @@
             channel.close()
         return head.status
 
-    async def ask(self, number, body):
+    async def post(self, number, body):
         request = ClientRequest(
             attempt_id=f'{number:08x}',
             host=HOST,
@@ -222,60 +226,64 @@
             time_left_s=3,
             key=KEY,
         )
-        headers = [one for one in encode_request(request) if one[0] != 'Host']
+        headers = [header for header in encode_request(request) if header[0] != 'Host']
         return await self.call(self.clients[number % 2], 'POST', PATH, body, headers)
 
 
-async def ask_often(fleet, pause_s, body_of):
+async def post_periodically(fleet, interval_s, make_body):
     """Ask at a steady pace and return how often each status came; 0: no answer."""
     tasks = []
-    until = time.monotonic() + LASTS_S
-    while time.monotonic() < until:
+    deadline = time.monotonic() + SCENARIO_S
+    while time.monotonic() < deadline:
         number = next(fleet.numbers)
-        tasks.append(asyncio.create_task(fleet.ask(number, body_of(number))))
-        await asyncio.sleep(pause_s)
+        tasks.append(asyncio.create_task(fleet.post(number, make_body(number))))
+        await asyncio.sleep(interval_s)
     return collections.Counter(await asyncio.gather(*tasks))
 
 
-async def end_at_random(fleet):
+async def crash_at_random(fleet):
     """End one server after another, whatever they run."""
-    dice = random.Random(29)
-    until = time.monotonic() + LASTS_S
-    while time.monotonic() < until:
-        fleet.book.spawn(dice.choice(fleet.servers).end())
-        await asyncio.sleep(APART_S)
+    random_source = random.Random(29)
+    deadline = time.monotonic() + SCENARIO_S
+    while time.monotonic() < deadline:
+        fleet.crash_log.spawn(random_source.choice(fleet.servers).crash())
+        await asyncio.sleep(CRASH_INTERVAL_S)
 
 
-async def play(folder, kind, trouble):
-    """Return what others were answered, and the book."""
+async def run_scenario(folder, workload, disturbance):
+    """Return what others were statuses, and the crash_log."""
     async with Fleet(folder) as fleet:
-        others, _ = await asyncio.gather(
-            ask_often(fleet, OTHERS_S, KINDS[kind]),
-            trouble(fleet),
+        other_statuses, _ = await asyncio.gather(
+            post_periodically(fleet, OTHER_REQUESTS_INTERVAL_S, BODIES_BY_WORKLOAD[workload]),
+            disturbance(fleet),
         )
-    return others, fleet.book
+    return other_statuses, fleet.crash_log
 
 
-def check_others(answered):
-    assert answered[200] >= 0.98 * answered.total(), answered
-    assert not answered[400], answered
+def check_unaffected(statuses):
+    assert statuses[200] >= 0.98 * statuses.total(), statuses
+    assert not statuses[400], statuses
 
 
-@pytest.mark.parametrize('kind', KINDS)
-def test_a_request_ends_three_servers_and_costs_others_nothing(tmp_path, kind):
-    others, book = asyncio.run(
-        play(tmp_path, kind, lambda fleet: ask_often(fleet, AGAIN_S, lambda _: ENDING)),
+@pytest.mark.parametrize('workload', BODIES_BY_WORKLOAD)
+def test_crashing_request_is_quarantined_after_three_crashes(tmp_path, workload):
+    other_statuses, crash_log = asyncio.run(
+        run_scenario(
+            tmp_path,
+            workload,
+            lambda fleet: post_periodically(fleet, REPEAT_INTERVAL_S, lambda _: CRASHING_BODY),
+        ),
     )
-    told_at = sorted(book.ends)[2]
-    late = [at for at in book.sends if at > told_at + IN_FORCE_S]
-    assert not late, (len(late), len(book.ends))
+    reported_at = sorted(crash_log.crashes)[2]
+    late_sends = [at for at in crash_log.sends if at > reported_at + QUARANTINE_DELAY_S]
+    assert not late_sends, (len(late_sends), len(crash_log.crashes))
     # Three, and one run beside: it lasts 30 ms, and its client asks each 0.1 s.
-    assert len(book.ends) <= 4
-    check_others(others)
+    assert len(crash_log.crashes) <= 4
+    check_unaffected(other_statuses)
 
 
-@pytest.mark.parametrize('kind', KINDS)
-def test_nobody_is_rejected_while_servers_end_by_themselves(tmp_path, kind):
-    others, book = asyncio.run(play(tmp_path, kind, end_at_random))
-    assert len(book.ends) > 10
-    check_others(others)
+@pytest.mark.parametrize('workload', BODIES_BY_WORKLOAD)
+def test_no_request_is_rejected_during_random_crashes(tmp_path, workload):
+    other_statuses, crash_log = asyncio.run(run_scenario(tmp_path, workload, crash_at_random))
+    assert len(crash_log.crashes) > 10
+    check_unaffected(other_statuses)
--- a/tests/test_system/test_system_leaving.py
+++ b/tests/test_system/test_system_leaving.py
@@ -17,25 +17,26 @@
 pytestmark = pytest.mark.processes
 
 CONTROL = ('control-1', 'control-2', 'control-3')
-NOTHING_NEW_S = 3
+DRAIN_PROPAGATION_S = 3
 CALLERS = 6
 
 
-class Load:
+class CallerLoad:
     """Callers behind a balancer that leaves an entry once it isn't ready."""
 
-    def __init__(self, system, pipeline='two', entries=('entry', 'other'), keyed=False):
+    def __init__(self, system, pipeline='two', entries=('entry', 'other'), use_keys=False):
         self.system = system
         self.pipeline = pipeline
         self.entries = list(entries)
-        self.keyed = keyed
+        self.use_keys = use_keys
         self.ready = set(entries)
         self.outcomes = []
-        self.ending = threading.Event()
+        self.stopping = threading.Event()
         self.threads = [
-            threading.Thread(target=self.call_always, args=(number,)) for number in range(CALLERS)
+            threading.Thread(target=self.call_repeatedly, args=(number,))
+            for number in range(CALLERS)
         ]
-        self.threads.append(threading.Thread(target=self.watch))
+        self.threads.append(threading.Thread(target=self.poll_readiness))
 
     def __enter__(self):
         for thread in self.threads:
@@ -43,12 +44,12 @@
         return self
 
     def __exit__(self, *failure):
-        self.ending.set()
+        self.stopping.set()
         for thread in self.threads:
             thread.join()
 
-    def watch(self):
-        while not self.ending.is_set():
+    def poll_readiness(self):
+        while not self.stopping.is_set():
             for entry in self.entries:
                 if self.system.get(entry, '/readyz').status == 200:
                     self.ready.add(entry)
@@ -56,16 +57,16 @@
                     self.ready.discard(entry)
             time.sleep(0.05)
 
-    def call_always(self, number):
+    def call_repeatedly(self, number):
         sent = 0
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             sent += 1
             ready = sorted(self.ready)
             if not ready:
                 continue
             entry = ready[(number + sent) % len(ready)]
             body = f'{number}-{sent}'.encode()
-            key = f'{number}-{sent}' if self.keyed else ''
+            key = f'{number}-{sent}' if self.use_keys else ''
             try:
                 reply = self.system.post(self.pipeline, body, entry=entry, key=key)
             except urllib3.exceptions.NewConnectionError:
@@ -73,105 +74,105 @@
             except urllib3.exceptions.HTTPError as error:
                 self.outcomes.append(f'cut: {error!r}')
             else:
-                whole = reply.status != 200 or reply.data == body
-                named = reply.headers.get('Ringseam-Outcome')
-                self.outcomes.append(named if whole else 'mixed')
+                is_correct = reply.status != 200 or reply.data == body
+                outcome = reply.headers.get('Ringseam-Outcome')
+                self.outcomes.append(outcome if is_correct else 'mixed')
 
 
-def reaches(system, entry, server):
+def is_executed_at(system, entry, server):
     """Post at an entry and return whether a server ran a stage of it."""
     before = len(system.executions(server))
     served = system.post('two', entry=entry).status == 200
     return served and len(system.executions(server)) > before
 
 
-def test_drain_by_file_with_an_entry_cut_off(whole_system, part_file):
-    whole_system.layout.add_server('second', pool='demo/readers')
-    whole_system.start('second', 'second-server')
-    whole_system.await_agents(3)
+def test_drain_by_file_with_a_partitioned_entry(running_system, part_file):
+    running_system.layout.add_server('second', pool='demo/readers')
+    running_system.start('second', 'second-server')
+    running_system.wait_for_agents(3)
     # Each entry hears by itself that the second server serves.
     for entry in ('entry', 'other'):
         eventually(
-            functools.partial(reaches, whole_system, entry, 'second'),
+            functools.partial(is_executed_at, running_system, entry, 'second'),
             what=f'work at the second server from {entry}',
         )
-    whole_system.cut('entry', *CONTROL)
-    with Load(whole_system) as load:
+    running_system.partition('entry', *CONTROL)
+    with CallerLoad(running_system) as load:
         drained = part_file.replace(
             '[pool readers]',
             '[pool readers]\ndrain = reader',
         )
-        whole_system.apply(drained, expect=1)
-        time.sleep(NOTHING_NEW_S)
-        before = len(whole_system.executions('reader'))
+        running_system.apply(drained, expect=1)
+        time.sleep(DRAIN_PROPAGATION_S)
+        before = len(running_system.executions('reader'))
         time.sleep(1)
-        after = len(whole_system.executions('reader'))
+        after = len(running_system.executions('reader'))
     assert after == before
     assert set(load.outcomes) == {'completed'}
 
 
 @pytest.mark.parametrize('name', ['entry', 'reader', 'leader'])
-def test_planned_stop_cuts_nothing(whole_system, name):
-    whole_system.layout.add_server('second', pool='demo/readers')
-    whole_system.start('second', 'second-server')
-    whole_system.await_agents(3)
+def test_graceful_stop_interrupts_no_request(running_system, name):
+    running_system.layout.add_server('second', pool='demo/readers')
+    running_system.start('second', 'second-server')
+    running_system.wait_for_agents(3)
     time.sleep(0.5)
-    victim = whole_system.leader() if name == 'leader' else name
-    whole_system.faults('reader', latency_ms=100)
-    whole_system.faults('second', latency_ms=100)
-    with Load(whole_system) as load:
+    victim = running_system.leader() if name == 'leader' else name
+    running_system.set_faults('reader', latency_ms=100)
+    running_system.set_faults('second', latency_ms=100)
+    with CallerLoad(running_system) as load:
         time.sleep(1)
-        whole_system.send(victim, signal.SIGTERM)
+        running_system.send_signal(victim, signal.SIGTERM)
         time.sleep(0.1)
-        assert whole_system.stop(victim) == 0
+        assert running_system.stop(victim) == 0
         time.sleep(1)
     assert set(load.outcomes) == {'completed'}
     assert len(load.outcomes) > 20
 
 
-def test_leader_stops_under_claims(whole_system):
-    with Load(whole_system, pipeline='signal', keyed=True) as load:
+def test_leader_stops_while_claims_are_made(running_system):
+    with CallerLoad(running_system, pipeline='signal', use_keys=True) as load:
         time.sleep(1)
-        assert whole_system.stop(whole_system.leader()) == 0
+        assert running_system.stop(running_system.leader()) == 0
         time.sleep(2)
     assert 'completed' in load.outcomes
     assert set(load.outcomes) <= {'completed', 'unknown', 'not-run'}
-    bodies = [line.split()[1] for line in whole_system.executions('signaller')]
+    bodies = [line.split()[1] for line in running_system.executions('signaller')]
     assert len(bodies) - len(set(bodies)) == 1  # both warm-ups have one body
 
 
-def test_agent_killed_repeatable_work_is_retried(whole_system):
-    whole_system.layout.add_server('second', pool='demo/readers', zone='zone-2')
-    whole_system.start('second', 'second-server')
-    whole_system.await_agents(3)
+def test_agent_killed_repeatable_work_is_retried(running_system):
+    running_system.layout.add_server('second', pool='demo/readers', zone='zone-2')
+    running_system.start('second', 'second-server')
+    running_system.wait_for_agents(3)
     time.sleep(0.5)
-    with Load(whole_system) as load:
+    with CallerLoad(running_system) as load:
         time.sleep(0.5)
-        whole_system.kill('reader', 'reader-server')
+        running_system.kill('reader', 'reader-server')
         time.sleep(2)
     assert set(load.outcomes) == {'completed'}
 
 
-def test_directory_lost_traffic_goes_on(whole_system):
-    whole_system.kill(*CONTROL)
-    until = time.monotonic() + 5
-    with Load(whole_system) as load:
-        time.sleep(max(0, until - time.monotonic()))
+def test_traffic_continues_without_control_hosts(running_system):
+    running_system.kill(*CONTROL)
+    deadline = time.monotonic() + 5
+    with CallerLoad(running_system) as load:
+        time.sleep(max(0, deadline - time.monotonic()))
     assert set(load.outcomes) == {'completed'}
 
 
-def test_hanging_server_times_out_and_is_left(whole_system):
-    whole_system.faults('reader', hang_percent=100)
-    began = time.monotonic()
+def test_hanging_server_times_out(running_system):
+    running_system.set_faults('reader', hang_percent=100)
+    started = time.monotonic()
     reply = urllib3.request(
         'POST',
-        f'http://{whole_system.layout.processes["entry"].http}/v1/pipelines/two',
+        f'http://{running_system.layout.processes["entry"].http}/v1/pipelines/two',
         body=b'x',
         headers={'Authorization': 'Bearer caller', 'Ringseam-Timeout-Ms': '700'},
         retries=False,
     )
     assert (reply.status, reply.headers['Ringseam-Outcome']) == (504, 'timed-out')
-    assert time.monotonic() - began < 2
+    assert time.monotonic() - started < 2
 
 
 REJECTED = (
@@ -188,8 +189,8 @@
 )
 
 
-def test_rejected_requests(whole_system):
-    base = f'http://{whole_system.layout.processes["entry"].http}/v1/pipelines'
+def test_rejected_requests(running_system):
+    base = f'http://{running_system.layout.processes["entry"].http}/v1/pipelines'
     for name, headers, pipeline, status in REJECTED:
         reply = urllib3.request(
             'POST', f'{base}/{pipeline}', body=b'x', headers=headers, retries=False
@@ -198,43 +199,43 @@
         assert reply.headers['Ringseam-Outcome'] == 'rejected', name
 
 
-def test_random_bytes_on_every_port(whole_system):
-    dice = random.Random(7)
-    planned = whole_system.layout.processes
-    ports = [planned[name].address for name in (*CONTROL, 'entry', 'reader')]
-    ports += [planned[name].http for name in ('entry', 'reader')]
-    slow = []
+def test_random_bytes_on_every_port(running_system):
+    random_source = random.Random(7)
+    processes = running_system.layout.processes
+    ports = [processes[name].address for name in (*CONTROL, 'entry', 'reader')]
+    ports += [processes[name].http for name in ('entry', 'reader')]
+    stalled = []
     for address in ports:
         host, _, port = address.partition(':')
         for size in (1, 100, 10_000, 100_000):
-            with socket.create_connection((host, int(port)), timeout=5) as link:
-                noise = dice.randbytes(size)
-                http2 = b'PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n' if dice.random() < 0.5 else b''
+            with socket.create_connection((host, int(port)), timeout=5) as connection:
+                noise = random_source.randbytes(size)
+                http2 = b'PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n' if random_source.random() < 0.5 else b''
                 try:
-                    link.sendall(http2 + noise)
+                    connection.sendall(http2 + noise)
                 except OSError:
                     continue
         sender = socket.create_connection((host, int(port)), timeout=5)
         sender.sendall(b'POST /v1/pipelines/two HTTP/1.1\r\nContent-Length: 100\r\n\r\nhalf')
-        slow.append(sender)
+        stalled.append(sender)
     oversized = urllib3.request(
         'POST',
-        f'http://{planned["entry"].http}/v1/pipelines/two',
+        f'http://{processes["entry"].http}/v1/pipelines/two',
         body=bytes(17 * 2**20),
         headers={'Authorization': 'Bearer caller'},
         retries=False,
     )
     assert oversized.status == 413
-    assert whole_system.post('two', b'still well').data == b'still well'
-    assert all(process.poll() is None for process in whole_system.running.values())
-    for sender in slow:
+    assert running_system.post('two', b'still well').data == b'still well'
+    assert all(process.poll() is None for process in running_system.running.values())
+    for sender in stalled:
         sender.close()
 
 
-def test_stranger_without_the_key_is_refused(whole_system):
-    whole_system.layout.key_file.write_text('another-key-of-16-bytes-or-more')
-    assert whole_system.statuses() == {}
+def test_peer_without_the_key_is_refused(running_system):
+    running_system.layout.key_file.write_text('another-key-of-16-bytes-or-more')
+    assert running_system.statuses() == {}
     eventually(
-        lambda: whole_system.events('control-1', 'stranger_refused'),
+        lambda: running_system.events('control-1', 'stranger_refused'),
         what='the refusal in the log',
     )
--- a/tests/test_system/test_system_platform.py
+++ b/tests/test_system/test_system_platform.py
@@ -54,9 +54,9 @@
 def free_ports(count):
     with ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for one in sockets:
-            one.bind(('127.0.0.1', 0))
-        return [one.getsockname()[1] for one in sockets]
+        for each_socket in sockets:
+            each_socket.bind(('127.0.0.1', 0))
+        return [each_socket.getsockname()[1] for each_socket in sockets]
 
 
 class Platform:
@@ -89,7 +89,7 @@
                 stderr=log,
             )
 
-    def end(self):
+    def close(self):
         for process in self.running.values():
             process.kill()
             process.wait()
@@ -100,30 +100,30 @@
             reader, writer = await asyncio.open_connection('127.0.0.1', self.ports[port])
         except OSError:
             return 0, b''
-        sent = {
+        all_headers = {
             'Host': 'h.example',
             'Connection': 'close',
             'Content-Length': str(len(body)),
             **{name.replace('_', '-'): text for name, text in headers.items()},
         }
-        lines = ''.join(f'{name}: {text}\r\n' for name, text in sent.items())
+        lines = ''.join(f'{name}: {text}\r\n' for name, text in all_headers.items())
         writer.write(f'{method} {path} HTTP/1.1\r\n{lines}\r\n'.encode() + body)
         raw = await reader.read()
         writer.close()
         head, _, rest = raw.partition(b'\r\n\r\n')
         return (int(head.split(b' ')[1]) if head else 0), rest
 
-    async def until(self, status, *call, **headers):
-        begun = time.monotonic()
-        found = None
-        while time.monotonic() - begun < WAIT_S:
-            found = await self.call(*call, **headers)
-            if found[0] == status:
-                return found[1]
+    async def call_until(self, status, *call, **headers):
+        started = time.monotonic()
+        response = None
+        while time.monotonic() - started < WAIT_S:
+            response = await self.call(*call, **headers)
+            if response[0] == status:
+                return response[1]
             await asyncio.sleep(0.05)
-        raise AssertionError(f'{call}: {found}')
+        raise AssertionError(f'{call}: {response}')
 
-    async def beat(self, address, sequence, state='ready', status=200, **more):
+    async def report_backend(self, address, sequence, state='ready', status=200, **fields):
         body = {
             'service': 'plain',
             'addr': address,
@@ -131,12 +131,12 @@
             'seq': sequence,
             'state': state,
             'slots': 4,
-            **more,
+            **fields,
         }
         path = '/api/instances/i-1'
-        await self.until(status, 'http', 'PUT', path, json.dumps(body).encode())
+        await self.call_until(status, 'http', 'PUT', path, json.dumps(body).encode())
 
-    async def ask(self, attempt='r1'):
+    async def send_request(self, attempt='r1'):
         return await self.call(
             'clients',
             'POST',
@@ -152,28 +152,28 @@
 def make_platform(tmp_path):
     platform = Platform(tmp_path)
     yield platform
-    platform.end()
+    platform.close()
 
 
-async def good(asked, writer):
-    writer.write(http_response(asked))
+async def respond_ok(request, writer):
+    writer.write(http_response(request))
 
 
-def test_whole_path_from_the_first_document_to_a_leave(platform):
+def test_request_path_from_first_document_to_drain(platform):
     async def run():
-        server = ScriptedServer(good)
+        server = ScriptedServer(respond_ok)
         address = await server.start()
         assert (await platform.call('ready', 'GET', '/api/ready'))[0] in {0, 503}
-        await platform.until(200, 'http', 'PUT', '/api/config', manifest(version=4))
-        await platform.beat(address, 1)
-        await platform.until(200, 'ready', 'GET', '/api/ready')
-        assert await platform.ask() == (200, b'ok')
+        await platform.call_until(200, 'http', 'PUT', '/api/config', manifest(version=4))
+        await platform.report_backend(address, 1)
+        await platform.call_until(200, 'ready', 'GET', '/api/ready')
+        assert await platform.send_request() == (200, b'ok')
         assert server.requests[0].header('Expect-Instance') == 'i-1'
-        await platform.beat(address, 2, 'draining')
+        await platform.report_backend(address, 2, 'draining')
         # The acknowledgement says that the gateway knows: no wait is needed.
-        assert (await platform.ask('r2'))[0] == 503
-        await platform.beat(address, 1, 'ready')
-        assert (await platform.ask('r3'))[0] == 503
+        assert (await platform.send_request('r2'))[0] == 503
+        await platform.report_backend(address, 1, 'ready')
+        assert (await platform.send_request('r3'))[0] == 503
         assert len(server.requests) == 1
 
     asyncio.run(run())
@@ -181,11 +181,11 @@
 
 def test_both_roles_serve_their_metrics(platform):
     async def run():
-        server = ScriptedServer(good)
-        await platform.until(200, 'http', 'PUT', '/api/config', manifest(version=4))
-        await platform.beat(await server.start(), 1)
-        await platform.until(200, 'ready', 'GET', '/api/ready')
-        assert await platform.ask() == (200, b'ok')
+        server = ScriptedServer(respond_ok)
+        await platform.call_until(200, 'http', 'PUT', '/api/config', manifest(version=4))
+        await platform.report_backend(await server.start(), 1)
+        await platform.call_until(200, 'ready', 'GET', '/api/ready')
+        assert await platform.send_request() == (200, b'ok')
         status, page = await platform.call('metrics', 'GET', '/metrics')
         assert status == 200
         assert b'ringseam_calls{call="PUT backend",status="200"} 1' in page
@@ -200,133 +200,133 @@
 
 def test_documents_over_http(platform):
     async def run():
-        whole = manifest(version=4)
-        await platform.until(200, 'http', 'PUT', '/api/config', whole)
-        status, body = await platform.call('http', 'PUT', '/api/config', whole[:-9])
+        document = manifest(version=4)
+        await platform.call_until(200, 'http', 'PUT', '/api/config', document)
+        status, body = await platform.call('http', 'PUT', '/api/config', document[:-9])
         assert status == 400
         assert json.loads(body)['findings']
         assert (await platform.call('http', 'PUT', '/api/config', manifest(version=3)))[0] == 200
         other = manifest(version=4, routes=[])
         assert (await platform.call('http', 'PUT', '/api/config', other))[0] == 200
-        assert await platform.call('http', 'GET', '/api/config') == (200, whole)
+        assert await platform.call('http', 'GET', '/api/config') == (200, document)
         platform.running['control'].kill()
         platform.running['control'].wait()
         platform.start('control')
-        assert await platform.until(200, 'http', 'GET', '/api/config') == whole
+        assert await platform.call_until(200, 'http', 'GET', '/api/config') == document
 
     asyncio.run(run())
 
 
-def test_document_that_hosts_have_no_memory_for_is_refused_with_a_finding(platform):
+def test_document_above_the_memory_limit_is_refused_with_a_finding(platform):
     async def run():
-        whole = manifest(version=4)
-        await platform.until(200, 'http', 'PUT', '/api/config', whole)
+        document = manifest(version=4)
+        await platform.call_until(200, 'http', 'PUT', '/api/config', document)
         large = manifest(version=5, padding='x' * (6 * 2**20))
         status, body = await platform.call('http', 'PUT', '/api/config', large)
         assert status == 413
         assert 'document_bytes' in json.loads(body)['findings'][0]
-        assert await platform.call('http', 'GET', '/api/config') == (200, whole)
+        assert await platform.call('http', 'GET', '/api/config') == (200, document)
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize('body', [b'', b'{}', b'[1]', b'\xff', b'{"service":3}'])
-def test_reports_that_can_not_be_read(platform, body):
+def test_unreadable_reports_are_refused(platform, body):
     async def run():
-        await platform.until(400, 'http', 'PUT', '/api/instances/i-1', body)
+        await platform.call_until(400, 'http', 'PUT', '/api/instances/i-1', body)
 
     asyncio.run(run())
 
 
-def test_reports_of_other_writers_leave_the_others_as_they_are(platform):
+def test_invalid_reports_do_not_change_the_backend_state(platform):
     async def run():
-        server = ScriptedServer(good)
+        server = ScriptedServer(respond_ok)
         address = await server.start()
-        await platform.until(200, 'http', 'PUT', '/api/config', manifest(version=4))
-        await platform.beat(address, 5, born=7)
-        await platform.until(200, 'ready', 'GET', '/api/ready')
-        for odd in ({'born': 8.5}, {'seq': None}, {'state': 'odd'}, {'x': 'x' * 2**20}, {}):
-            await platform.beat(address, 6, status=400, **odd)
-        assert await platform.ask() == (200, b'ok')
+        await platform.call_until(200, 'http', 'PUT', '/api/config', manifest(version=4))
+        await platform.report_backend(address, 5, born=7)
+        await platform.call_until(200, 'ready', 'GET', '/api/ready')
+        for invalid in ({'born': 8.5}, {'seq': None}, {'state': 'odd'}, {'x': 'x' * 2**20}, {}):
+            await platform.report_backend(address, 6, status=400, **invalid)
+        assert await platform.send_request() == (200, b'ok')
         _, page = await platform.call('metrics', 'GET', '/metrics')
         assert b'ringseam_reports_refused 5' in page
 
     asyncio.run(run())
 
 
-def test_server_that_starts_again_under_its_name_is_used_and_its_past_is_not(platform):
+def test_restarted_server_is_used_and_reports_of_its_earlier_lifetime_are_ignored(platform):
     async def run():
-        server = ScriptedServer(good)
+        server = ScriptedServer(respond_ok)
         address = await server.start()
-        await platform.until(200, 'http', 'PUT', '/api/config', manifest(version=4))
-        await platform.beat(address, 900, born=7)
-        await platform.beat(address, 901, 'draining', born=7)
-        await platform.until(200, 'ready', 'GET', '/api/ready')
-        assert (await platform.ask('r1'))[0] == 503
-        await platform.beat(address, 1, born=9)
-        await platform.beat(address, 902, 'draining', born=7)
-        assert await platform.ask('r2') == (200, b'ok')
+        await platform.call_until(200, 'http', 'PUT', '/api/config', manifest(version=4))
+        await platform.report_backend(address, 900, born=7)
+        await platform.report_backend(address, 901, 'draining', born=7)
+        await platform.call_until(200, 'ready', 'GET', '/api/ready')
+        assert (await platform.send_request('r1'))[0] == 503
+        await platform.report_backend(address, 1, born=9)
+        await platform.report_backend(address, 902, 'draining', born=7)
+        assert await platform.send_request('r2') == (200, b'ok')
         assert server.requests[0].header('Expect-Instance') == 'i-1'
         platform.running['control'].kill()
         platform.running['control'].wait()
         platform.start('control')
-        await platform.beat(address, 903, born=7)
-        await platform.beat(address, 2, born=9)
-        assert await platform.ask('r3') == (200, b'ok')
+        await platform.report_backend(address, 903, born=7)
+        await platform.report_backend(address, 2, born=9)
+        assert await platform.send_request('r3') == (200, b'ok')
 
     asyncio.run(run())
 
 
-def test_planned_stop_of_a_gateway_cuts_nothing(platform):
+def test_graceful_stop_of_a_gateway_completes_running_requests(platform):
     async def run():
-        async def slow(asked, writer):
+        async def slow(request, writer):
             await asyncio.sleep(1.5)
-            writer.write(http_response(asked))
+            writer.write(http_response(request))
 
         server = ScriptedServer(slow)
         address = await server.start()
-        await platform.until(200, 'http', 'PUT', '/api/config', manifest(version=1))
-        await platform.beat(address, 1)
-        await platform.until(200, 'ready', 'GET', '/api/ready')
-        asked = asyncio.ensure_future(platform.ask())
+        await platform.call_until(200, 'http', 'PUT', '/api/config', manifest(version=1))
+        await platform.report_backend(address, 1)
+        await platform.call_until(200, 'ready', 'GET', '/api/ready')
+        pending = asyncio.ensure_future(platform.send_request())
         while not server.requests:
             await asyncio.sleep(0.01)
         platform.running['gateway'].send_signal(signal.SIGTERM)
         await asyncio.sleep(0.1)
         assert (await platform.call('ready', 'GET', '/api/ready'))[0] == 503
-        assert await asked == (200, b'ok')
+        assert await pending == (200, b'ok')
         loop = asyncio.get_running_loop()
         assert await loop.run_in_executor(None, platform.running['gateway'].wait, 8) == 0
 
     asyncio.run(run())
 
 
-def test_settings_file_that_changes_is_read_again(platform):
+def test_hangup_reloads_a_changed_settings_file(platform):
     async def run():
-        await platform.until(200, 'http', 'PUT', '/api/config', manifest(version=1))
+        await platform.call_until(200, 'http', 'PUT', '/api/config', manifest(version=1))
         gateway = platform.folder / 'gateway.ini'
         log = platform.folder / 'gateway.log'
         text = gateway.read_text()
-        begun = time.monotonic()
+        started = time.monotonic()
         # A process that still starts reads the new settings as its first ones.
         while b'process_started' not in log.read_bytes():
-            assert time.monotonic() - begun < WAIT_S
+            assert time.monotonic() - started < WAIT_S
             await asyncio.sleep(0.05)
         gateway.write_text(text.replace('grace_s = 8', 'grace_s = 9'))
         platform.running['gateway'].send_signal(signal.SIGHUP)
         while b'settings_reloaded' not in log.read_bytes():
-            assert time.monotonic() - begun < WAIT_S
+            assert time.monotonic() - started < WAIT_S
             await asyncio.sleep(0.05)
         gateway.write_text('[process]\n')
         while b'settings_refused' not in log.read_bytes():
-            assert time.monotonic() - begun < WAIT_S
+            assert time.monotonic() - started < WAIT_S
             await asyncio.sleep(0.05)
         assert platform.running['gateway'].poll() is None
 
     asyncio.run(run())
 
 
-def test_demo_shows_whole_answers_and_a_leave(tmp_path, capsys):
+def test_demo_shows_complete_responses_and_a_drain(tmp_path, capsys):
     assert asyncio.run(GatewayDemo(folder=tmp_path).run())
     shown = capsys.readouterr().out.splitlines()
     assert shown[0].startswith('plain request: 200')
@@ -334,7 +334,7 @@
     assert 'acknowledged True; then 503' in shown[2]
 
 
-def test_signal_for_new_settings_does_not_end_a_process_that_still_starts(platform):
+def test_hangup_during_start_does_not_terminate_the_process(platform):
     """Seen once in CI beside load: the gateway was gone, its log empty."""
     log = platform.folder / 'gateway.log'
     platform.running['gateway'].kill()
@@ -342,11 +342,11 @@
     log.write_bytes(b'')
     platform.start('gateway')
     process = platform.running['gateway']
-    begun = time.monotonic()
+    started = time.monotonic()
     sent = 0
     while b'process_started' not in log.read_bytes():
         assert process.poll() is None
-        assert time.monotonic() - begun < WAIT_S
+        assert time.monotonic() - started < WAIT_S
         if ignores_hangup(process.pid):
             process.send_signal(signal.SIGHUP)
             sent += 1
--- a/tests/test_system/test_system_soak.py
+++ b/tests/test_system/test_system_soak.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(('seed', 'kinds'), SEEDS, ids=['1', '2', '3', '4', '5', '6'])
-def test_promises_hold_under_faults(seed, kinds, tmp_path):
+def test_guarantees_hold_under_faults(seed, kinds, tmp_path):
     book, faults = soak(seed, 6, tmp_path, kinds)
     assert book.broken == []
     assert faults.total() >= LEAST_FAULTS
@@ -51,7 +51,7 @@
         (b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n', (0, b'')),
     ],
 )
-def test_only_whole_answers_count(raw, found):
+def test_only_complete_responses_count(raw, found):
     assert parse(raw) == found
 
 
--- a/tests/test_system/test_system_streams.py
+++ b/tests/test_system/test_system_streams.py
@@ -27,13 +27,13 @@
         '[pipeline tell]\nstages = write\naccounts = inspector\ndeadline_ms = 3000\n'
     )
     system.apply(text, expect=0)
-    system.await_ready()
-    system.post_whole('tell', b'warm-up')
+    system.wait_until_ready()
+    system.post_until_success('tell', b'warm-up')
     system.text = text
     return system
 
 
-def ask_streamed(system, body, **headers):
+def post_streamed(system, body, **headers):
     return urllib3.request(
         'POST',
         f'http://{system.layout.processes["entry"].http}/v1/pipelines/tell',
@@ -48,57 +48,57 @@
     )
 
 
-def events_of(raw):
+def parse_events(raw):
     for block in raw.decode().strip().split('\n\n'):
         name, payload = block.split('\n')
         yield name.removeprefix('event: '), json.loads(payload.removeprefix('data: '))
 
 
 def test_stream_ends_with_count_and_digest(engine_system):
-    whole = engine_system.post('tell', b'lot 17').data
-    events = list(events_of(ask_streamed(engine_system, b'lot 17').data))
+    unstreamed = engine_system.post('tell', b'lot 17').data
+    events = list(parse_events(post_streamed(engine_system, b'lot 17').data))
     text = ''.join(payload['text'] for name, payload in events if name == 'text').encode()
     name, end = events[-1]
     assert (name, end['outcome'], end['count']) == ('end', 'completed', len(events) - 1)
     assert end['sha256'] == hashlib.sha256(text).hexdigest()
-    assert text == whole
+    assert text == unstreamed
 
 
-def test_cut_stream_is_never_called_whole(engine_system):
-    engine_system.faults('writer', truncate_percent=100)
-    reply = ask_streamed(engine_system, b'a prompt that gives several tokens')
+def test_truncated_stream_is_never_reported_as_completed(engine_system):
+    engine_system.set_faults('writer', truncate_percent=100)
+    reply = post_streamed(engine_system, b'a prompt that gives several tokens')
     raw = reply.data
     if reply.status == 200:
-        assert list(events_of(raw))[-1][1]['outcome'] == 'failed'
+        assert list(parse_events(raw))[-1][1]['outcome'] == 'failed'
     else:
         assert json.loads(raw)['outcome'] == 'failed'
 
 
-def test_caller_gone_cancels_the_engine(engine_system):
-    engine_system.faults('writer', token_us=200_000)
-    reply = ask_streamed(engine_system, b'lot 17 and so on')
+def test_client_disconnect_cancels_the_engine_execution(engine_system):
+    engine_system.set_faults('writer', token_us=200_000)
+    reply = post_streamed(engine_system, b'lot 17 and so on')
     next(reply.stream(1))
     reply.close()
 
-    def cancelled():
+    def cancellations():
         return engine_system.events('writer', 'execution_cancelled')
 
-    eventually(cancelled, within_s=3, what='the cancel at the agent')
+    eventually(cancellations, timeout_s=3, what='the cancel at the agent')
 
 
-def test_models_are_ordered_under_a_token(engine_system):
-    wanted = engine_system.text.replace('models = base', 'models = base, spare')
-    engine_system.apply(wanted, expect=1)
-    given = eventually(
+def test_model_orders_carry_a_fencing_token(engine_system):
+    changed = engine_system.text.replace('models = base', 'models = base, spare')
+    engine_system.apply(changed, expect=1)
+    first_orders = eventually(
         lambda: engine_system.events('writer', 'order_given'),
         what='the order',
     )
-    assert given[0]['models'] == ['base', 'spare']
+    assert first_orders[0]['models'] == ['base', 'spare']
     engine_system.kill('writer')
     engine_system.start('writer')
-    engine_system.apply(wanted.replace('base, spare', 'base'), expect=2)
-    newer = eventually(
+    engine_system.apply(changed.replace('base, spare', 'base'), expect=2)
+    later_orders = eventually(
         lambda: engine_system.events('writer', 'order_given')[1:],
         what='the order of the new incarnation',
     )
-    assert newer[0]['token'] > given[0]['token']
+    assert later_orders[0]['token'] > first_orders[0]['token']
--- a/tests/test_system/test_system_suspended.py
+++ b/tests/test_system/test_system_suspended.py
@@ -13,14 +13,14 @@
 from ringseam.routes import ServiceName
 from ringseam.settings import read_settings
 from tests.gateways import LocalGateway, ScriptedServer, http_response, reset
-from tests.suspension import Suspension
+from tests.suspension import SimulatedSuspension
 
 ROLES = ('control', 'entry', 'gateway', 'agent', 'standin')
 
 
 @pytest.fixture
 def suspension(monkeypatch):
-    return Suspension(monkeypatch)
+    return SimulatedSuspension(monkeypatch)
 
 
 @pytest.fixture(name='key_file')
@@ -30,7 +30,7 @@
     return path
 
 
-def planned(folder, kind):
+def create_role(folder, kind):
     """Return a role of a small layout, not started."""
     importlib.import_module(f'ringseam.{kind}.role')
     layout = Layout(folder=folder)
@@ -45,67 +45,69 @@
 
 
 @pytest.mark.parametrize('kind', ROLES)
-def test_decisions_and_timers_of_a_role_go_by_one_clock(kind, tmp_path, suspension):
-    async def times():
-        role = planned(tmp_path, kind)
+def test_role_clock_and_event_loop_agree_after_a_suspension(kind, tmp_path, suspension):
+    async def advance_clock():
+        role = create_role(tmp_path, kind)
         loop = asyncio.get_running_loop()
         before = role.node.clock.now()
-        suspension.last(60)
+        suspension.advance(60)
         return role.node.clock.now() - before, role.node.clock.now() - loop.time()
 
-    elapsed, apart = run_loop(times())
-    assert elapsed == pytest.approx(60, abs=1)
-    assert apart == pytest.approx(0, abs=0.1)
+    elapsed_s, difference_s = run_loop(advance_clock())
+    assert elapsed_s == pytest.approx(60, abs=1)
+    assert difference_s == pytest.approx(0, abs=0.1)
 
 
-def test_gateway_hands_on_the_time_that_is_left_after_a_suspension(key_file, suspension):
+def test_gateway_forwards_the_remaining_time_after_a_suspension(key_file, suspension):
     """The first server breaks off over a suspension of a second; the retry has less time."""
-    handed = []
+    deadlines_ms = []
 
-    async def break_off(asked, writer):
-        handed.append(int(asked.header('Deadline-Ms')))
-        suspension.last(1)
+    async def reset_after_suspension(request, writer):
+        deadlines_ms.append(int(request.header('Deadline-Ms')))
+        suspension.advance(1)
         reset(writer)
 
-    async def serve(asked, writer):
-        handed.append(int(asked.header('Deadline-Ms')))
-        writer.write(http_response(asked))
+    async def serve(request, writer):
+        deadlines_ms.append(int(request.header('Deadline-Ms')))
+        writer.write(http_response(request))
 
-    async def ask():
+    async def send_request():
         async with LocalGateway(key_file) as gateway:
-            for number, script in enumerate((break_off, serve)):
+            for number, script in enumerate((reset_after_suspension, serve)):
                 gateway.add_server(await ScriptedServer(script).start(), name=f's{number}')
             first = [gateway.role.follower.view.backends[BackendId('s0')]]
             later = [gateway.role.follower.view.backends[BackendId('s1')]]
-            gateway.role.follower.serving = lambda *_: later if handed else first
+            gateway.role.follower.serving = lambda *_: later if deadlines_ms else first
             return await gateway.fetch('/idem/x', read_s=60, Deadline_Ms='2500')
 
-    status, _ = run_loop(ask())
-    assert (status, len(handed)) == (200, 2)
-    assert handed[1] <= handed[0] - 1000
+    status, _ = run_loop(send_request())
+    assert (status, len(deadlines_ms)) == (200, 2)
+    assert deadlines_ms[1] <= deadlines_ms[0] - 1000
 
 
-def test_gateway_refuses_to_send_what_has_run_out_in_a_suspension(key_file, suspension):
-    asked_again = []
+def test_gateway_sends_no_retry_past_the_deadline_after_a_suspension(key_file, suspension):
+    requests = []
 
-    async def break_off(asked, writer):
-        asked_again.append(asked)
-        suspension.last(5)
+    async def reset_after_suspension(request, writer):
+        requests.append(request)
+        suspension.advance(5)
         reset(writer)
 
-    async def ask():
+    async def send_request():
         async with LocalGateway(key_file) as gateway:
             for number in range(2):
-                gateway.add_server(await ScriptedServer(break_off).start(), name=f's{number}')
+                gateway.add_server(
+                    await ScriptedServer(reset_after_suspension).start(), name=f's{number}'
+                )
             return await gateway.fetch('/idem/x', read_s=60, Deadline_Ms='2500')
 
-    status, _ = run_loop(ask())
-    assert (status, len(asked_again)) == (504, 1)
+    status, _ = run_loop(send_request())
+    assert (status, len(requests)) == (504, 1)
 
 
-def test_control_forgets_servers_that_were_silent_over_a_suspension(tmp_path, suspension):
-    async def known():
-        role = planned(tmp_path, 'control')
+def test_control_expires_backends_silent_during_a_suspension(tmp_path, suspension):
+    async def expired():
+        role = create_role(tmp_path, 'control')
         directory = role.follow_service.directory
         report = BackendReport(
             instance=BackendId('i-1'),
@@ -115,7 +117,7 @@
             sequence=1,
         )
         directory.report(report, role.node.clock.now())
-        suspension.last(60)
+        suspension.advance(60)
         return directory.expire(role.node.clock.now())
 
-    assert run_loop(known()) == ['i-1']
+    assert run_loop(expired()) == ['i-1']
