--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures and the one hypothesis profile of all tests."""
+"""Shared fixtures and the hypothesis profile of all tests."""
 
 from __future__ import annotations
 
@@ -65,19 +65,19 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Pass over the tests that are known to fail, and print them (option -ra)."""
+    """Expect the tests with known faults to fail; option ``-ra`` lists them."""
     mark_expected_failures(items, load_known_failures())
 
 
 @pytest.fixture
 def part_file():
-    """Return an operator's file with repeatable and other pipelines."""
+    """Return a part file with repeatable and non-repeatable pipelines."""
     return PART_FILE
 
 
 @pytest.fixture
 def system(tmp_path):
-    """Return a system whose processes end with the test."""
+    """Return a system whose processes are killed after the test."""
     created = System(layout=Layout(folder=tmp_path / 'system'))
     yield created
     created.close()
@@ -85,7 +85,7 @@
 
 @pytest.fixture
 def running_system(system):
-    """Return a running system: three control hosts, two entries, two servers."""
+    """Start a system of three control hosts, two entries and two servers."""
     layout = system.layout
     layout.add_control(3)
     layout.add_server('reader', pool='demo/readers')
--- a/tests/knownfailures.py
+++ b/tests/knownfailures.py
@@ -1,4 +1,4 @@
-"""Tests that fail for a known fault, as KNOWN-RED.txt lists them."""
+"""Mark the tests listed in KNOWN-RED.txt, which fail because of a known fault."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def parse_known_failures(text):
-    """Return the reason by test; a line is "test | cause | issue"."""
+    """Map each listed test to its line, which reads "test | cause | issue"."""
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith('#')]
     return {line.partition(' | ')[0].strip(): line for line in lines}
 
 
 def mark_expected_failures(items, known_failures):
-    """Expect the listed tests to fail; one that passes is an error, so that it is taken off."""
+    """Mark the listed tests as strict xfail: one that passes must be removed from the list."""
     for item in items:
         line = known_failures.get(item.nodeid.partition('[')[0])
         if line is not None:
@@ -24,7 +24,7 @@
 
 
 def load_known_failures():
-    """Return what the list of this tree has."""
+    """Return the known failures of this source tree."""
     return (
         parse_known_failures(KNOWN_FAILURES_FILE.read_text(encoding='utf-8'))
         if KNOWN_FAILURES_FILE.exists()
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Start real processes of a small system and talk to them."""
+"""Start a small system as real processes and send requests to it."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 
 def eventually(check, *, timeout_s=TIMEOUT_S, what='the condition'):
-    """Return the first true value of ``check``; fail after ``timeout_s``."""
+    """Poll ``check`` and return its first true value; fail after ``timeout_s``."""
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         result = check()
         if result:
             return result
         time.sleep(POLL_INTERVAL_S)
-    raise AssertionError(f'{what} did not come within {timeout_s} s')
+    raise AssertionError(f'timed out after {timeout_s} s waiting for {what}')
 
 
 @dataclass
 class System:
-    """Processes of one layout, each started and ended by name."""
+    """The processes of one layout, which are started and stopped by name."""
 
     layout: Layout
     running: dict[str, subprocess.Popen] = field(default_factory=dict)
@@ -61,7 +61,7 @@
         self.running[name].send_signal(number)
 
     def resume_after_suspension(self, name, stopped_s):
-        """Let a stopped process go on as after a suspension of its host."""
+        """Continue a stopped process as if its host had been suspended for ``stopped_s``."""
         for _ in range(round(stopped_s / SUSPEND_STEP_S)):
             self.send_signal(name, SUSPEND_SIGNAL)
         self.send_signal(name, signal.SIGCONT)
@@ -73,13 +73,16 @@
             process.wait()
 
     def stop(self, name, timeout_s=TIMEOUT_S):
-        """Stop as planned and return the exit code."""
+        """Stop a process gracefully and return its exit code."""
         process = self.running.pop(name)
         process.send_signal(signal.SIGTERM)
         return process.wait(timeout_s)
 
     def partition(self, name, *others, both=True):
-        """Silently cut ``name`` off from ``others``; none: heal it."""
+        """Silently drop messages between ``name`` and ``others``; none: drop nothing.
+
+        Without ``both``, only the process ``name`` drops messages.
+        """
         processes = self.layout.processes
         (self.layout.folder / f'{name}.drill').write_text(
             ' '.join(processes[other].address for other in others),
@@ -88,8 +91,8 @@
             for other in others:
                 path = self.layout.folder / f'{other}.drill'
                 path.write_text(processes[name].address)
-        # Each process reads its file again only now and then; before that, the
-        # cut is not in force and messages still pass.
+        # Each process rereads its file every REREAD_INTERVAL_S; until then, messages
+        # still pass.
         time.sleep(2 * REREAD_INTERVAL_S)
 
     def heal(self):
@@ -107,7 +110,7 @@
     # -- calls ---------------------------------------------------------------
 
     def call(self, operation):
-        """Run ``operation(control_client)`` on an event loop of its own."""
+        """Run ``operation(control_client)`` on a separate event loop."""
         secret = self.layout.key_file.read_bytes().strip()[:64]
 
         async def run():
@@ -132,7 +135,7 @@
         return self.call(lambda control: control.call_leader(APPLY, request, timeout_s=timeout_s))
 
     def statuses(self):
-        """Return the status of each control host that answers, by name."""
+        """Return the status of each control host that responds, by name."""
 
         async def gather(control):
             calls = [
@@ -149,7 +152,7 @@
         return self.call(gather)
 
     def leader(self):
-        """Return the name of the control host that leads, once there is one."""
+        """Wait for a leader among the control hosts and return its name."""
 
         def find():
             leading = [
@@ -171,7 +174,7 @@
         )
 
     def wait_until_ready(self, entry='entry'):
-        """Wait until the entry holds a configuration and sees agents."""
+        """Wait until the entry has a configuration and has discovered agents."""
         eventually(lambda: self.get(entry, '/readyz').status == 200, what='readiness')
 
     def get(self, entry, path):
@@ -199,14 +202,14 @@
         )
 
     def post_until_success(self, pipeline, body=b'x', **options):
-        """Post until the answer is whole: for starting up only."""
+        """Post until the request succeeds; for use during start-up only."""
         return eventually(
             lambda: _completed(self.post(pipeline, body, **options)),
-            what=f'a whole answer of {pipeline}',
+            what=f'a complete response of pipeline {pipeline}',
         )
 
     def set_faults(self, server, **faults):
-        """Change the faults of a stand-in."""
+        """Change the faults that a stand-in server injects."""
         reply = urllib3.request(
             'POST',
             f'http://{self.layout.processes[f"{server}-server"].http}/faults',
@@ -216,13 +219,13 @@
         assert reply.status == 200, reply.data
 
     def executions(self, server, marker=''):
-        """Return the recorded executions whose identity holds ``marker``."""
+        """Return the recorded executions whose line contains ``marker``."""
         path = Path(self.layout.processes[f'{server}-server'].record_file)
         lines = path.read_text().splitlines() if path.exists() else []
         return [line for line in lines if marker in line]
 
     def events(self, name, event=''):
-        """Return the logged events of one process."""
+        """Return the events that one process logged and whose name contains ``event``."""
         path = self.layout.folder / f'{name}.log'
         lines = path.read_text().splitlines() if path.exists() else []
         records = [json.loads(line) for line in lines if line.startswith('{')]
--- a/tests/suspendable.py
+++ b/tests/suspendable.py
@@ -1,7 +1,8 @@
-"""``ringseam`` on a host that can be suspended: ``python -m tests.suspendable ROLE ...``.
+"""Run ``ringseam`` with simulated host suspension: ``python -m tests.suspendable ROLE ...``.
 
-A suspension is a stop that the monotonic clock doesn't count. The process is stopped by
-a signal and sent SUSPEND_SIGNAL for each tenth of a second before it goes on.
+The monotonic clock doesn't advance during a suspension. The test stops the process by a
+signal and sends it :data:`SUSPEND_SIGNAL` once per :data:`SUSPEND_STEP_S` of the pause
+before it continues.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 def simulate_suspensions():
-    """Take the time of suspensions off the monotonic clock; the boot clock stays true."""
+    """Subtract suspended time from the monotonic clock; the boot-time clock is unchanged."""
     suspended_s = [0.0]
     unmodified = time.monotonic
 
--- a/tests/suspension.py
+++ b/tests/suspension.py
@@ -1,4 +1,4 @@
-"""Let this process believe that its host was suspended."""
+"""Simulate a suspension of the host within the test process."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SimulatedSuspension:
-    """Lets the steady clock jump as it does over a suspension; the monotonic one doesn't."""
+    """Advances the boot-time clock as a suspension does; the monotonic clock is unchanged."""
 
     def __init__(self, monkeypatch):
         self.suspended_s = 0
--- a/tests/test_deploy/__init__.py
+++ b/tests/test_deploy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the files by which the platform runs the product."""
+"""Tests of the files that the platform deploys the system with."""
--- a/tests/test_deploy/test_deploy_days.py
+++ b/tests/test_deploy/test_deploy_days.py
@@ -1,4 +1,4 @@
-"""Days of our own: they can be read, and fit any deployment."""
+"""The scenario days of this project are valid for any deployment."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 ROOT = Path(__file__).parent.parent.parent
 DAYS = sorted((ROOT / 'deploy' / 'days').glob('*.toml'))
 ENTRY_KINDS = tomllib.loads((ROOT / 'bench' / 'days' / 'kinds.toml').read_text())
-#: Contents that end servers are played besides what a deployment lists.
+#: ``poison`` (contents that crash servers) is replayed in addition to the listed kinds.
 KNOWN_KINDS = {entry['kind'] for part in ('plan', 'faults') for entry in ENTRY_KINDS[part]} | {
     'poison'
 }
-#: Entries that have a place name it by the deployment's first one.
+#: Entries that refer to a class, service or zone use the placeholder for the first one.
 PLACEHOLDERS = {'class': '@c0', 'service': '@s0', 'zone': '@z0', 'to_zone': '@z0'}
 DAY_LENGTH_S = 34.0
 
--- a/tests/test_deploy/test_deploy_settings.py
+++ b/tests/test_deploy/test_deploy_settings.py
@@ -1,4 +1,4 @@
-"""The templates of settings, rendered with any figures that the platform may give."""
+"""The settings templates, rendered with any numbers that the platform may supply."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 ROOT = Path(__file__).parent.parent.parent
 ROLES = ('gateway', 'control')
 _PLACEHOLDER = re.compile(r'\{\{([a-z_.0-9]+)\}\}')
-#: A table of which each entry is written as its key, a sign and its value.
+#: A table section that renders each entry as ``key=value``.
 _TABLE = re.compile(r'\{\{#([a-z_]+)\}\}\{\{@\}\}=\{\{\.\}\}\{\{,\}\}\{\{/\1\}\}')
 _SECTION = re.compile(r'\{\{([#^])([a-z_.0-9]+)\}\}(.*?)\{\{/\2\}\}')
 
 ZONES = {'hall-a': 'thies', 'server room': 'thies', 'Klang': 'selangor'}
 
-#: Settings of the platform that name places; their figures are drawn.
+#: Platform values that tests keep fixed; numeric values are drawn.
 PLATFORM_VALUES = {
     'node_name': 'front-hall-a-1',
     'zone': 'hall-a',
@@ -39,7 +39,7 @@
 
 
 def number_texts(low, high):
-    """Draw whole numbers and fractions, as text."""
+    """Draw integers and fractions as text."""
     integers = st.integers(low, high)
     fractions = st.floats(low, high, allow_nan=False, width=32)
     return st.one_of(integers, fractions).map(str)
@@ -61,7 +61,7 @@
 
 
 def render_template(role, platform_values):
-    """Fill in a template by the platform's rules for values and yes/no sections."""
+    """Render a template by the platform's rules for values, tables and boolean sections."""
     text = (ROOT / 'deploy' / f'{role}.ini').read_text(encoding='utf-8')
 
     def replace_section(match):
@@ -92,7 +92,7 @@
     },
 )
 def test_any_numbers_of_the_platform_are_accepted(role, drawn):
-    """Lost a whole day of a fleet: a slack with a fraction ended every gateway."""
+    """Guards against a fractional ``retry_slack`` that stopped every gateway of a fleet."""
     settings = read_settings(
         role, render_template(role, PLATFORM_VALUES | drawn), path='settings.conf'
     )
--- a/tests/test_dist/test_dist_binary.py
+++ b/tests/test_dist/test_dist_binary.py
@@ -1,4 +1,4 @@
-"""The single file runs by itself in an empty folder."""
+"""The single-file distribution runs on its own in an empty folder."""
 
 from __future__ import annotations
 
--- a/tests/test_docs/test_docs_pages.py
+++ b/tests/test_docs/test_docs_pages.py
@@ -1,4 +1,4 @@
-"""The pages: they parse, links lead somewhere, the catalogue is complete."""
+"""The documentation pages parse, their links resolve and the event catalogue is complete."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 def test_event_catalogue_is_complete():
     text = (ROOT / 'docs' / 'events.rst').read_text(encoding='utf-8')
     listed = re.findall(r'^(\d{3}) +(\w+) +(\w+) +(.*)$', text, re.MULTILINE)
-    known = [
-        (str(event.number), event.name, _level(event), event.text)
+    defined = [
+        (str(event.number), event.name, _level_name(event), event.text)
         for event in sorted(Event, key=lambda event: event.number)
     ]
-    assert listed == known
+    assert listed == defined
 
 
 def test_event_numbers_are_unique():
     assert len({event.number for event in Event}) == len(Event)
 
 
-def _level(event):
+def _level_name(event):
     import logging
 
     return logging.getLevelName(event.level)
 
 
 def test_named_tests_exist():
-    """Each test that the proof page names stands in the tests."""
+    """Each test that the proof page names exists."""
     text = (ROOT / 'docs' / 'proof.rst').read_text(encoding='utf-8')
     sources = ''.join(path.read_text() for path in (ROOT / 'tests').rglob('test_*.py'))
     for name in set(re.findall(r'``(test_\w+)``', text)):
--- a/tests/test_examples/test_examples_files.py
+++ b/tests/test_examples/test_examples_files.py
@@ -1,4 +1,4 @@
-"""The example files of both deployments are accepted as they stand."""
+"""The example files of both deployments are accepted without changes."""
 
 from __future__ import annotations
 
--- a/tests/test_system/test_system_control.py
+++ b/tests/test_system/test_system_control.py
@@ -1,4 +1,4 @@
-"""Control and configuration under failure, with real processes and signals."""
+"""Control hosts and configuration changes under failure, with real processes."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 @pytest.fixture
 def control(system, part_file):
-    """Return a system of three control hosts with revision 1 accepted."""
+    """Start three control hosts and apply revision 1."""
     system.layout.add_control(3, snapshot_entries=200)
     system.start()
     assert system.apply(part_file, expect=0).revision == 1
     eventually(
         lambda: [status.revision for status in system.statuses().values()] == [1, 1, 1],
-        what='revision 1 at all three',
+        what='revision 1 on all three control hosts',
     )
     return system
 
 
 def voters(system):
-    """Return the voters' ``address/disk`` as the leader sees them."""
+    """Return the ``address/disk`` of each voter as the leader reports them."""
     for status in system.statuses().values():
         if status.role == 'leader':
             return sorted(
@@ -49,10 +49,10 @@
 
 
 def wait_for_repair(system, before):
-    """Wait until three voters stand again, one of them new."""
+    """Wait until the group has three voters again, one of them new."""
     eventually(
         lambda: len(now := voters(system)) == 3 and now != before,
-        what='the repair',
+        what='the replacement of the lost voter',
     )
 
 
@@ -80,10 +80,10 @@
     control.start(*CONTROL)
     again = control.apply(second, expect=1)
     assert (again.revision, again.resent, again.newest) == (first_reply.revision, True, 3)
-    # A host that has just started applies what is committed once it hears the leader.
+    # A restarted host applies committed entries once the leader has contacted it.
     eventually(
         lambda: [status.parts.get('demo') for status in control.statuses().values()] == [3] * 3,
-        what='the newest revision at all three',
+        what='the newest revision on all three control hosts',
     )
 
 
@@ -108,7 +108,7 @@
             control.statuses()[paused].role == 'follower'
             and control.statuses()[paused].revision == 2
         ),
-        what='the woken leader to follow',
+        what='the resumed leader to become a follower',
     )
 
 
@@ -119,11 +119,11 @@
     term = control.statuses()[leader].term
     for number in range(1, 6):
         control.apply(f'{part_file}\n# {number}\n', expect=number)
-    time.sleep(2)  # the cut lasts several election timeouts
+    time.sleep(2)  # the partition lasts several election timeouts
     stale = control.statuses()[isolated]
     assert (stale.role != 'leader', stale.revision) == (True, 1)
     control.heal()
-    eventually(lambda: control.statuses()[isolated].revision == 6, what='catching up')
+    eventually(lambda: control.statuses()[isolated].revision == 6, what='the replica to catch up')
     after = control.statuses()[leader]
     assert (after.role, after.term) == ('leader', term)
 
@@ -186,7 +186,7 @@
         if any(row['revision'] == 2 for row in running_system.events('entry', 'in_force')):
             return
         time.sleep(0.05)
-    raise AssertionError('the entry did not learn of revision 2 through the agents')
+    raise AssertionError('the entry did not receive revision 2 through the agents')
 
 
 def test_starting_entry_that_reaches_only_a_stale_replica(running_system, part_file):
@@ -209,7 +209,7 @@
     running_system.heal()
     eventually(
         lambda: running_system.events('other', 'in_force')[-1]['revision'] == 2,
-        what='revision 2 once it is seen',
+        what='revision 2 after the partition has healed',
     )
 
 
@@ -230,7 +230,7 @@
             (reply := running_system.post('signal', b'reject 9', key='night')).status == 200
             and reply
         ),
-        what='the recorded answer',
+        what='the recorded response',
     )
     assert again.data == first.data
     assert len(running_system.executions('signaller', '.demo/reject')) == 3
@@ -238,7 +238,7 @@
 
 
 def test_drained_zone_survives_kill_of_all_control_hosts(control):
-    """By the commands of operators, also twice."""
+    """Drain a zone with the operator commands, twice, and restart all control hosts."""
     processes = control.layout.processes
     connection_options = [
         '--control',
--- a/tests/test_system/test_system_crashing.py
+++ b/tests/test_system/test_system_crashing.py
@@ -1,10 +1,10 @@
-"""Requests that end the backend server that runs them.
+"""Requests that crash the backend server that runs them.
 
-Seen: a service lost one server after another, each within half a second of starting to
-run the same work, while its client asked again and again. It came about as every limit
-on repeats is one attempt's or one service's: a new attempt has a new id and begins at
-zero, at any gateway. That the same content was at all servers that ended was proved by
-logging the content with each send.
+These tests guard against a client that repeats a crashing request until a service has lost
+all its servers, each within half a second of starting it. Retry limits don't prevent this:
+they apply to one attempt or one service, and each repetition is a new attempt with a new id
+that starts from zero at any gateway. Logging the content of each send showed that all
+crashed servers had received the same content.
 """
 
 from __future__ import annotations
@@ -40,18 +40,18 @@
 PATH = '/plain/'
 SERVERS = 8
 CRASHING_BODY = b'ends its server'
-#: A server ends this long after it has begun the request, and is back later, seconds.
+#: Seconds from the start of a crashing request to the crash, and from there to the restart.
 CRASH_DELAY_S = 0.03
 DOWNTIME_S = 1.5
 REPORT_INTERVAL_S = 0.4
-#: Others ask this often, and the client of the request too, seconds.
+#: Seconds between the requests of other clients, and between those of the crashing client.
 OTHER_REQUESTS_INTERVAL_S = 0.025
 REPEAT_INTERVAL_S = 0.1
 SCENARIO_S = 6.0
-#: A verdict is in force at each gateway this long after the third end, seconds: two calls
-#: over loopback take 10 ms. The platform allows three seconds.
+#: Seconds after the third crash within which each gateway enforces the quarantine. Two calls
+#: over loopback take 10 ms; the platform allows 3 s.
 QUARANTINE_DELAY_S = 0.25
-#: Servers that are ended from outside fall this far apart, seconds.
+#: Seconds between crashes that no request causes.
 CRASH_INTERVAL_S = 0.4
 BODIES_BY_WORKLOAD = {
     'each-its-own': lambda number: b'work %d' % number,
@@ -60,7 +60,7 @@
 
 
 class CrashingServer(DirectServer):
-    """A stand-in that ends shortly after it has begun to run a certain body."""
+    """A stand-in server that crashes shortly after it has started a certain request body."""
 
     def __init__(self, *, crash_log, **options):
         super().__init__(**options)
@@ -75,7 +75,7 @@
         self.is_up = True
 
     async def crash(self):
-        """End as a killed process does: what is under way breaks off."""
+        """Abort all connections, as a killed process does, and listen again later."""
         if not self.is_up:
             return
         self.is_up = False
@@ -95,7 +95,7 @@
 
 
 class CrashLog:
-    """What was sent and how servers ended, by the steady clock."""
+    """Monotonic times of the sends of the crashing request and of the crashes."""
 
     def __init__(self):
         self.crashes = []
@@ -109,7 +109,7 @@
 
 
 class Fleet:
-    """One control host, two gateways and eight servers in this process."""
+    """One control host, two gateways and eight servers in the test process."""
 
     def __init__(self, folder):
         self.crash_log = CrashLog()
@@ -203,7 +203,7 @@
             await asyncio.sleep(REPORT_INTERVAL_S)
 
     async def call(self, address, method, path, body, headers=()):
-        """Return the status; 0 when there is no answer."""
+        """Return the status; 0 if there is no response."""
         try:
             channel = await self.pool.connect(address, timeout_s=1)
         except ChannelError:
@@ -231,7 +231,7 @@
 
 
 async def post_periodically(fleet, interval_s, make_body):
-    """Ask at a steady pace and return how often each status came; 0: no answer."""
+    """Send requests at a fixed interval and count the statuses; 0: no response."""
     tasks = []
     deadline = time.monotonic() + SCENARIO_S
     while time.monotonic() < deadline:
@@ -242,7 +242,7 @@
 
 
 async def crash_at_random(fleet):
-    """End one server after another, whatever they run."""
+    """Crash randomly chosen servers, independently of what they run."""
     random_source = random.Random(29)
     deadline = time.monotonic() + SCENARIO_S
     while time.monotonic() < deadline:
@@ -251,7 +251,7 @@
 
 
 async def run_scenario(folder, workload, disturbance):
-    """Return what others were statuses, and the crash_log."""
+    """Return the statuses of the other clients' requests, and the crash log."""
     async with Fleet(folder) as fleet:
         other_statuses, _ = await asyncio.gather(
             post_periodically(fleet, OTHER_REQUESTS_INTERVAL_S, BODIES_BY_WORKLOAD[workload]),
@@ -277,7 +277,7 @@
     reported_at = sorted(crash_log.crashes)[2]
     late_sends = [at for at in crash_log.sends if at > reported_at + QUARANTINE_DELAY_S]
     assert not late_sends, (len(late_sends), len(crash_log.crashes))
-    # Three, and one run beside: it lasts 30 ms, and its client asks each 0.1 s.
+    # Three crashes, and one concurrent run: a run lasts 30 ms, its client repeats every 0.1 s.
     assert len(crash_log.crashes) <= 4
     check_unaffected(other_statuses)
 
--- a/tests/test_system/test_system_leaving.py
+++ b/tests/test_system/test_system_leaving.py
@@ -1,4 +1,4 @@
-"""Servers and processes that leave, lost servers, and bad input."""
+"""Draining, graceful stops, lost servers and invalid input."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class CallerLoad:
-    """Callers behind a balancer that leaves an entry once it isn't ready."""
+    """Callers behind a load balancer that skips entries that aren't ready."""
 
     def __init__(self, system, pipeline='two', entries=('entry', 'other'), use_keys=False):
         self.system = system
@@ -70,7 +70,7 @@
             try:
                 reply = self.system.post(self.pipeline, body, entry=entry, key=key)
             except urllib3.exceptions.NewConnectionError:
-                continue  # never sent: a balancer goes elsewhere
+                continue  # never sent: a load balancer would try another entry
             except urllib3.exceptions.HTTPError as error:
                 self.outcomes.append(f'cut: {error!r}')
             else:
@@ -80,7 +80,7 @@
 
 
 def is_executed_at(system, entry, server):
-    """Post at an entry and return whether a server ran a stage of it."""
+    """Post to an entry and return whether ``server`` executed a stage of the request."""
     before = len(system.executions(server))
     served = system.post('two', entry=entry).status == 200
     return served and len(system.executions(server)) > before
@@ -90,11 +90,11 @@
     running_system.layout.add_server('second', pool='demo/readers')
     running_system.start('second', 'second-server')
     running_system.wait_for_agents(3)
-    # Each entry hears by itself that the second server serves.
+    # Each entry discovers the second server independently.
     for entry in ('entry', 'other'):
         eventually(
             functools.partial(is_executed_at, running_system, entry, 'second'),
-            what=f'work at the second server from {entry}',
+            what=f'an execution at the second server for {entry}',
         )
     running_system.partition('entry', *CONTROL)
     with CallerLoad(running_system) as load:
@@ -138,7 +138,7 @@
     assert 'completed' in load.outcomes
     assert set(load.outcomes) <= {'completed', 'unknown', 'not-run'}
     bodies = [line.split()[1] for line in running_system.executions('signaller')]
-    assert len(bodies) - len(set(bodies)) == 1  # both warm-ups have one body
+    assert len(bodies) - len(set(bodies)) == 1  # both warm-up requests have the same body
 
 
 def test_agent_killed_repeatable_work_is_retried(running_system):
--- a/tests/test_system/test_system_once.py
+++ b/tests/test_system/test_system_once.py
@@ -1,4 +1,4 @@
-"""Work that may not be repeated, and answers, under failure."""
+"""Non-repeatable requests and responses under failure."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def post_until_settled(system, pipeline, body, *, entry, key):
-    """Ask with the key until it is no longer in progress."""
+    """Repeat the request with its key until it is no longer in progress."""
     return eventually(
         lambda: _settled(system.post(pipeline, body, entry=entry, key=key)),
         what='a settled outcome',
@@ -41,22 +41,22 @@
 
 
 def submit_and_wait_for_start(system, pool, pipeline, body, **options):
-    """Send a request that takes ``SLOW_MS`` and wait until it runs."""
+    """Send a request that takes ``SLOW_MS`` and wait until its execution has started."""
     pending = pool.submit(system.post, pipeline, body, **options)
     eventually(lambda: count_executions(system, 'signaller', body), what='the execution to start')
     return pending
 
 
 @pytest.fixture
-def slow(running_system):
-    """Return a whole system whose signaller takes a while."""
+def slow_system(running_system):
+    """Return a running system whose signaller takes ``SLOW_MS``, and a thread pool."""
     running_system.set_faults('signaller', latency_ms=SLOW_MS)
     with ThreadPoolExecutor(8) as pool:
         yield running_system, pool
 
 
-def test_entry_killed_after_dispatch(slow):
-    system, pool = slow
+def test_entry_killed_after_dispatch(slow_system):
+    system, pool = slow_system
     pending = submit_and_wait_for_start(system, pool, 'signal', b'carton', key='c')
     system.kill('entry')
     assert pending.exception() is not None
@@ -68,15 +68,15 @@
     assert count_executions(system, 'signaller', b'carton') == 1
 
 
-def test_agent_killed_while_running(slow):
-    system, pool = slow
+def test_agent_killed_while_running(slow_system):
+    system, pool = slow_system
     pending = submit_and_wait_for_start(system, pool, 'signal', b'carton', key='c')
     system.kill('signaller')
     assert outcome(pending.result()) == 'unknown'
     system.start('signaller')
     settled = eventually(
         lambda: _containing(system.post('signal', b'carton', entry='other', key='c'), 'restarted'),
-        what='the new incarnation to settle it',
+        what='the new incarnation to settle the request',
     )
     assert outcome(settled) == 'unknown'
     assert count_executions(system, 'signaller', b'carton') == 1
@@ -86,8 +86,8 @@
     return reply if text in reply.data.decode() else None
 
 
-def test_backend_server_killed_during_execution(slow):
-    system, pool = slow
+def test_backend_server_killed_during_execution(slow_system):
+    system, pool = slow_system
     pending = submit_and_wait_for_start(system, pool, 'signal', b'carton', key='c')
     system.kill('signaller-server')
     assert (pending.result().status, outcome(pending.result())) == (504, 'unknown')
@@ -97,8 +97,8 @@
     assert count_executions(system, 'signaller', b'carton') == 1
 
 
-def test_concurrent_requests_with_one_key_execute_once(slow):
-    system, pool = slow
+def test_concurrent_requests_with_one_key_execute_once(slow_system):
+    system, pool = slow_system
     pending = [
         pool.submit(system.post, 'signal', b'carton', entry=entry, key='c')
         for entry in ('entry', 'other') * 3
@@ -109,8 +109,8 @@
     assert count_executions(system, 'signaller', b'carton') == 1
 
 
-def test_recorded_pipeline_resumes_elsewhere(slow):
-    system, pool = slow
+def test_recorded_pipeline_resumes_elsewhere(slow_system):
+    system, pool = slow_system
     pending = submit_and_wait_for_start(system, pool, 'verdict', b'photo', key='p')
     system.kill('entry')
     assert pending.exception() is not None
@@ -121,10 +121,10 @@
     assert count_executions(system, 'signaller', b'photo') == 1
 
 
-def test_resumed_agent_executes_once(slow):
+def test_resumed_agent_executes_once(slow_system):
     import signal
 
-    system, pool = slow
+    system, pool = slow_system
     system.send_signal('signaller', signal.SIGSTOP)
     pending = pool.submit(system.post, 'signal', b'carton', key='c', timeout=60)
     time.sleep(2)
--- a/tests/test_system/test_system_path.py
+++ b/tests/test_system/test_system_path.py
@@ -1,4 +1,4 @@
-"""The whole path over separate processes."""
+"""The request path over separate processes."""
 
 from __future__ import annotations
 
--- a/tests/test_system/test_system_platform.py
+++ b/tests/test_system/test_system_platform.py
@@ -1,4 +1,4 @@
-"""The path on the users' platform over real processes, without the bench."""
+"""The request path with the platform adapter, over real processes."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class Platform:
-    """One control host and one gateway, as processes."""
+    """One control host and one gateway as processes."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -95,7 +95,7 @@
             process.wait()
 
     async def call(self, port, method, path, body=b'', **headers):
-        """Return the status and the body of an answer; 0 when there is none."""
+        """Return the status and the body of the response; 0 if there is none."""
         try:
             reader, writer = await asyncio.open_connection('127.0.0.1', self.ports[port])
         except OSError:
@@ -170,7 +170,7 @@
         assert await platform.send_request() == (200, b'ok')
         assert server.requests[0].header('Expect-Instance') == 'i-1'
         await platform.report_backend(address, 2, 'draining')
-        # The acknowledgement says that the gateway knows: no wait is needed.
+        # The report is acknowledged only after the gateway knows the state: no wait is needed.
         assert (await platform.send_request('r2'))[0] == 503
         await platform.report_backend(address, 1, 'ready')
         assert (await platform.send_request('r3'))[0] == 503
@@ -308,7 +308,7 @@
         log = platform.folder / 'gateway.log'
         text = gateway.read_text()
         started = time.monotonic()
-        # A process that still starts reads the new settings as its first ones.
+        # A process that is still starting would read the new settings as its initial ones.
         while b'process_started' not in log.read_bytes():
             assert time.monotonic() - started < WAIT_S
             await asyncio.sleep(0.05)
@@ -335,7 +335,10 @@
 
 
 def test_hangup_during_start_does_not_terminate_the_process(platform):
-    """Seen once in CI beside load: the gateway was gone, its log empty."""
+    """Guards against a SIGHUP that terminates the gateway before its handler is installed.
+
+    Under load, this ended the gateway with an empty log.
+    """
     log = platform.folder / 'gateway.log'
     platform.running['gateway'].kill()
     platform.running['gateway'].wait()
@@ -356,7 +359,7 @@
 
 
 def ignores_hangup(pid):
-    """Return whether a process ignores SIGHUP now, by the kernel's own word."""
+    """Return whether the kernel reports that the process ignores SIGHUP."""
     status = Path(f'/proc/{pid}/status').read_text()
     masks = [line.split()[1] for line in status.splitlines() if line.startswith('SigIgn:')]
     return bool(int(masks[0], 16) >> (signal.SIGHUP - 1) & 1)
--- a/tests/test_system/test_system_soak.py
+++ b/tests/test_system/test_system_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the fault soak; see ``bench/soak.py`` for longer ones."""
+"""Short seeded runs of the fault-injection soak test; ``bench/soak.py`` runs longer ones."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 pytestmark = pytest.mark.processes
 
-#: Seeds and what they draw from; those that ever failed join, with a line on the cause.
+#: Seeds and the kinds of faults they draw from. Add each seed that fails, with its cause.
 SEEDS = (
     (1, FAULTS),
     (2, MORE_FAULTS),
--- a/tests/test_system/test_system_streams.py
+++ b/tests/test_system/test_system_streams.py
@@ -1,4 +1,4 @@
-"""Streamed answers and orders to engines, over separate processes."""
+"""Streamed responses and orders to engines, over separate processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def engine_system(system, part_file):
-    """Return a system whose one pipeline ends at an engine."""
+    """Start a system with an additional pipeline that is served by an engine."""
     layout = system.layout
     layout.add_control(1)
     layout.add_server('writer', pool='demo/writers', kind='engine', token_us=2000)
@@ -83,7 +83,7 @@
     def cancellations():
         return engine_system.events('writer', 'execution_cancelled')
 
-    eventually(cancellations, timeout_s=3, what='the cancel at the agent')
+    eventually(cancellations, timeout_s=3, what='the cancellation at the agent')
 
 
 def test_model_orders_carry_a_fencing_token(engine_system):
@@ -91,7 +91,7 @@
     engine_system.apply(changed, expect=1)
     first_orders = eventually(
         lambda: engine_system.events('writer', 'order_given'),
-        what='the order',
+        what='the model order',
     )
     assert first_orders[0]['models'] == ['base', 'spare']
     engine_system.kill('writer')
@@ -99,6 +99,6 @@
     engine_system.apply(changed.replace('base, spare', 'base'), expect=2)
     later_orders = eventually(
         lambda: engine_system.events('writer', 'order_given')[1:],
-        what='the order of the new incarnation',
+        what='the model order of the new incarnation',
     )
     assert later_orders[0]['token'] > first_orders[0]['token']
--- a/tests/test_system/test_system_suspended.py
+++ b/tests/test_system/test_system_suspended.py
@@ -1,4 +1,4 @@
-"""A suspended host: what each role believes is as old as it is to everybody else."""
+"""Roles on a suspended host: time spent in a suspension counts for every decision."""
 
 import asyncio
 import importlib
@@ -31,7 +31,7 @@
 
 
 def create_role(folder, kind):
-    """Return a role of a small layout, not started."""
+    """Create a role of a small layout without starting it."""
     importlib.import_module(f'ringseam.{kind}.role')
     layout = Layout(folder=folder)
     seeds = {'seeds': free_address(), 'cluster_ports': '1, 2'}
@@ -59,7 +59,7 @@
 
 
 def test_gateway_forwards_the_remaining_time_after_a_suspension(key_file, suspension):
-    """The first server breaks off over a suspension of a second; the retry has less time."""
+    """The first server resets after a 1 s suspension; the retry has 1 s less time."""
     deadlines_ms = []
 
     async def reset_after_suspension(request, writer):
