--- a/bench/deciders.py
+++ b/bench/deciders.py
@@ -114,7 +114,7 @@
                 pool=None,
             ),
             ownership=Ownership(follower=follower, name='g0'),
-            pace=Pacer(name='g0'),
+            pacer=Pacer(name='g0'),
         )
         self.pieces = PieceClient(
             clock=self.clock,
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -307,7 +307,7 @@
     Mutation(
         'an end that the leader has not heard is forgotten',
         'ringseam/gateway/following/ends.py',
-        'if not crash.acknowledged and now',
+        'if not observed.acknowledged and now',
         'if False and now',
         'tests/test_gateway/test_following/test_following_ends.py',
     ),
@@ -349,7 +349,7 @@
     Mutation(
         'a gateway forgets verdicts with its leader',
         'ringseam/gateway/following/follower.py',
-        '        if news.epoch != self.epoch and not news.warm:\n',
+        '        if update.epoch != self.epoch and not update.warm:\n',
         '        if False:\n',
         'tests/test_control/test_control_quarantining.py',
     ),
--- a/ringseam/gateway/engines/client.py
+++ b/ringseam/gateway/engines/client.py
@@ -71,7 +71,7 @@
         follower: Follower,
         health: HealthTracker,
         ownership: Ownership,
-        turns: PermitAllocator,
+        permits: PermitAllocator,
     ) -> None:
         """Start without knowledge of cached prompts."""
         self.node = node
@@ -80,49 +80,51 @@
         self.follower = follower
         self.health = health
         self.ownership = ownership
-        self.turns = turns
-        self.pace = turns.pacer
+        self.permits = permits
+        self.pacer = permits.pacer
         self.placers: dict[str, Placer] = {}
         self.tasks = TaskSet()
         #: Until when owners that didn't reply are not called, by address.
         self.skipped_owners: dict[str, float] = {}
 
-    async def choose(self, work: RequestContext) -> BackendReport | None:
+    async def choose(self, context: RequestContext) -> BackendReport | None:
         """Choose the engine for a request, and wait until it may be sent."""
-        choice = await self._choose(self._query(work, dry=False))
+        choice = await self._choose(self._query(context, dry=False))
         while choice is not None and choice.engine is not None and choice.wait_s:
             was_limited = self._is_limited(choice.engine)
             await asyncio.sleep(choice.wait_s)
             still_valid = was_limited or not self._is_limited(choice.engine)
             if still_valid and self._accepts_work(choice.engine):
                 break
-            choice = await self._choose(self._query(work, dry=False))
-        self._record_wait(work, choice)
+            choice = await self._choose(self._query(context, dry=False))
+        self._record_wait(context, choice)
         return choice.engine if choice else None
 
-    async def predict(self, work: RequestContext) -> BackendReport | None:
+    async def predict(self, context: RequestContext) -> BackendReport | None:
         """Return the engine that a request would be placed on now."""
-        choice = await self._choose(self._query(work, dry=True))
-        self._record_wait(work, choice)
+        choice = await self._choose(self._query(context, dry=True))
+        self._record_wait(context, choice)
         return choice.engine if choice else None
 
-    def must_wait(self, work: RequestContext) -> bool:
+    def must_wait(self, context: RequestContext) -> bool:
         """Return whether all servers that a request may use are rate-limited or paused."""
-        paused = self.pace.pauses.paused(self.clock.now())
-        if not (paused or self.turns.limits.count):
+        paused = self.pacer.pauses.paused(self.clock.now())
+        if not (paused or self.permits.limits.count):
             return False
-        serving = self.follower.serving(work.service, work.suspect.account, work.allowed_zones)
+        serving = self.follower.serving(
+            context.service, context.suspect.account, context.allowed_zones
+        )
         return bool(serving) and all(
             server.instance in paused or self._is_limited(server) for server in serving
         )
 
-    def started(self, work: RequestContext) -> None:
+    def started(self, context: RequestContext) -> None:
         """Report that the first event of a request has arrived."""
-        self._report_progress(work, over=False)
+        self._report_progress(context, over=False)
 
-    def ended(self, work: RequestContext) -> None:
+    def ended(self, context: RequestContext) -> None:
         """Report that a request is over."""
-        self._report_progress(work, over=True)
+        self._report_progress(context, over=True)
 
     def report_silent(self, service: ServiceName, instance: BackendId) -> None:
         """Report that an engine with pending responses has gone silent."""
@@ -138,7 +140,7 @@
     async def serve_place(self, received: ReceivedMessage) -> PlaceReply:
         """Place a request for another gateway."""
         query: PlaceRequest = received.body
-        self.turns.merge_limits(query.limits)
+        self.permits.merge_limits(query.limits)
         choice = self._place_here(query)
         if choice is None:
             return PlaceReply()
@@ -172,57 +174,57 @@
             now = self.clock.now()
             instance = choice.engine.instance
             self._placer(service.name).record(query, instance, service, now)
-            self.pace.record_send(instance, now + choice.wait_s)
+            self.pacer.record_send(instance, now + choice.wait_s)
 
     def _is_limited(self, server: BackendReport) -> bool:
-        return self.turns.limits.of(server.instance) is not None
+        return self.permits.limits.of(server.instance) is not None
 
     def _accepts_work(self, server: BackendReport) -> bool:
         """Return whether a server accepts new requests from this gateway."""
-        paused = self.pace.pauses.remaining_s(server.instance, self.clock.now())
+        paused = self.pacer.pauses.remaining_s(server.instance, self.clock.now())
         return not paused and self.follower.is_serving(server)
 
-    def _record_wait(self, work: RequestContext, choice: EngineChoice | None) -> None:
+    def _record_wait(self, context: RequestContext, choice: EngineChoice | None) -> None:
         """Record after how long a request that was not placed may be sent."""
         if choice is not None and choice.engine is not None:
-            work.available_in_s = 0
+            context.available_in_s = 0
             return
-        end_s = self.pace.pauses.earliest_end_s(self._paused(work), self.clock.now())
+        end_s = self.pacer.pauses.earliest_end_s(self._paused(context), self.clock.now())
         permit_s = choice.wait_s if choice else 0
-        work.available_in_s = min((wait_s for wait_s in (end_s, permit_s) if wait_s), default=0)
+        context.available_in_s = min((wait_s for wait_s in (end_s, permit_s) if wait_s), default=0)
 
-    def _excluded_servers(self, work: RequestContext) -> tuple[str, ...]:
+    def _excluded_servers(self, context: RequestContext) -> tuple[str, ...]:
         """Return servers to exclude that the owner may not know to be unavailable."""
-        leaving = self.follower.view.leaving_servers(work.service)
-        return tuple(work.tries.tried.union(self._paused(work), leaving))
+        leaving = self.follower.view.leaving_servers(context.service)
+        return tuple(context.tries.tried.union(self._paused(context), leaving))
 
-    def _paused(self, work: RequestContext) -> list[BackendId]:
+    def _paused(self, context: RequestContext) -> list[BackendId]:
         """Return the servers that have paused requests from this gateway."""
-        paused = self.pace.pauses.paused(self.clock.now())
+        paused = self.pacer.pauses.paused(self.clock.now())
         if not paused:
             return []
-        serving = self.follower.view.serving(work.service)
+        serving = self.follower.view.serving(context.service)
         return [server.instance for server in serving if server.instance in paused]
 
-    def _query(self, work: RequestContext, *, dry: bool) -> PlaceRequest:
+    def _query(self, context: RequestContext, *, dry: bool) -> PlaceRequest:
         now = self.clock.now()
         return PlaceRequest(
-            request=work.request.attempt_id,
-            service=work.service,
-            prompt_tokens=work.request.prompt_tokens,
+            request=context.request.attempt_id,
+            service=context.service,
+            prompt_tokens=context.request.prompt_tokens,
             prefix=tuple(
-                PromptPart(name=part.name, tokens=part.tokens) for part in work.request.prefix
+                PromptPart(name=part.name, tokens=part.tokens) for part in context.request.prefix
             ),
-            priority=work.route.priority,
-            objective_ms=int((work.objective_deadline - now) * MS_PER_S),
-            left_ms=int((work.deadline - now) * MS_PER_S),
-            result_bytes=work.input_bytes,
-            avoid=self._excluded_servers(work),
+            priority=context.route.priority,
+            objective_ms=int((context.objective_deadline - now) * MS_PER_S),
+            left_ms=int((context.deadline - now) * MS_PER_S),
+            result_bytes=context.input_bytes,
+            avoid=self._excluded_servers(context),
             dry=dry,
-            account=work.suspect.account,
-            zones=None if work.allowed_zones is None else tuple(work.allowed_zones),
-            limits=self.turns.limit_reports(
-                server.instance for server in self.follower.view.serving(work.service)
+            account=context.suspect.account,
+            zones=None if context.allowed_zones is None else tuple(context.allowed_zones),
+            limits=self.permits.limit_reports(
+                server.instance for server in self.follower.view.serving(context.service)
             ),
         )
 
@@ -272,9 +274,9 @@
         engine = next((known for known in serving if known.instance == reply.instance), None)
         return None if engine is None else EngineChoice(engine=engine, wait_s=reply.wait_s)
 
-    def _report_progress(self, work: RequestContext, *, over: bool) -> None:
+    def _report_progress(self, context: RequestContext, *, over: bool) -> None:
         self._publish(
-            ProgressReport(service=work.service, request=work.request.attempt_id, over=over),
+            ProgressReport(service=context.service, request=context.request.attempt_id, over=over),
         )
 
     def _publish(self, report: ProgressReport) -> None:
@@ -305,7 +307,7 @@
 
     def _placer(self, service: str) -> Placer:
         if service not in self.placers:
-            self.placers[service] = Placer(health=self.health, pace=self.pace)
+            self.placers[service] = Placer(health=self.health, pacer=self.pacer)
         return self.placers[service]
 
     def _service(self, name: str) -> BackendService | None:
--- a/ringseam/gateway/engines/placement.py
+++ b/ringseam/gateway/engines/placement.py
@@ -91,7 +91,7 @@
     """Place requests on the engines of one service."""
 
     health: HealthTracker
-    pace: Pacer
+    pacer: Pacer
     caches: dict[BackendId, PrefixCache] = field(default_factory=dict)
     requests: dict[str, PlacedRequest] = field(default_factory=dict)
     #: The same requests by engine, in order of arrival.
@@ -119,7 +119,7 @@
             engine.instance: self._cached_tokens(query, engine.instance) for engine in compared
         }
         max_cached_tokens = max(cached_tokens.values(), default=0)
-        left_s = query.left_ms / MS_PER_S
+        remaining_s = query.left_ms / MS_PER_S
         candidates = [
             self._evaluate(
                 query,
@@ -131,7 +131,7 @@
             )
             for engine in compared
             if engine.instance not in query.avoid
-            and (wait_s := self._wait_s(query, engine, service, now, peers)) < left_s
+            and (wait_s := self._wait_s(query, engine, service, now, peers)) < remaining_s
         ]
         if not candidates:
             return None
@@ -139,7 +139,7 @@
         equal = [candidate for candidate in candidates if candidate.cost == least]
         best = min(equal, key=lambda candidate: _tie_break_key(query, candidate.engine))
         if not query.dry:
-            self.pace.reserve(best.engine.instance, service.cold, now, peers=peers)
+            self.pacer.reserve(best.engine.instance, service.cold, now, peers=peers)
             self.record(query, best.engine.instance, service, now)
         return best
 
@@ -208,7 +208,7 @@
     ) -> float:
         """Return the least time until a rate-limited engine has a send permit, or 0."""
         waits = [
-            self.pace.limit_wait_s(engine.instance, now, peers=peers)
+            self.pacer.limit_wait_s(engine.instance, now, peers=peers)
             for engine in engines
             if engine.instance not in query.avoid
         ]
@@ -225,11 +225,11 @@
         peers: Collection[str],
     ) -> float:
         """Return how long a request must wait for an engine; infinite: it may not use it."""
-        limit_wait_s = self.pace.limit_wait_s(engine.instance, now, peers=peers)
+        limit_wait_s = self.pacer.limit_wait_s(engine.instance, now, peers=peers)
         if limit_wait_s > max_wait_s(query.priority):
             return float('inf')
         return max(
-            limit_wait_s, self.pace.cold_wait_s(engine.instance, service.cold, now, peers=peers)
+            limit_wait_s, self.pacer.cold_wait_s(engine.instance, service.cold, now, peers=peers)
         )
 
     def _select_engines(
--- a/ringseam/gateway/following/ends.py
+++ b/ringseam/gateway/following/ends.py
@@ -73,18 +73,18 @@
     """A crash that this gateway observed, and whether the current leader knows of it."""
 
     at: float
-    end: ServerCrash
+    crash: ServerCrash
     acknowledged: bool = False
 
     def clear_content(self, content: ContentId, software: str) -> None:
         """Remove a content that servers of ``software`` survive from the suspects."""
-        if self.end.software == software:
-            suspects = tuple(one for one in self.end.suspects if one.content != content)
-            self.end = msgspec.structs.replace(self.end, suspects=suspects)
+        if self.crash.software == software:
+            suspects = tuple(one for one in self.crash.suspects if one.content != content)
+            self.crash = msgspec.structs.replace(self.crash, suspects=suspects)
 
     def report(self, now: float) -> ServerCrash:
         """Return the crash as reported to the leader."""
-        return msgspec.structs.replace(self.end, age_ms=int((now - self.at) * MS_PER_S))
+        return msgspec.structs.replace(self.crash, age_ms=int((now - self.at) * MS_PER_S))
 
 
 class CrashReporter:
@@ -98,12 +98,12 @@
         follower: Follower,
         health: HealthTracker,
         pool: HttpChannelPool,
-        served: RecentAnswers,
+        recent_answers: RecentAnswers,
         on_crash: Callable[[ServerCrash, float], None],
     ) -> None:
         """Call ``on_crash`` and then report to the leader that ``follower`` is connected to.
 
-        :param served: contents that servers have answered successfully; they are not suspected.
+        :param recent_answers: successful answers of servers; their contents are not suspected.
         """
         self.node = node
         self.clock = node.clock
@@ -111,7 +111,7 @@
         self.follower = follower
         self.health = health
         self.pool = pool
-        self.served = served
+        self.recent_answers = recent_answers
         self.on_crash = on_crash
         self.in_flight = InFlightRequests()
         self.tasks = TaskSet()
@@ -161,13 +161,13 @@
 
     def clear_content(self, content: ContentId, software: str) -> None:
         """Stop reporting a content that servers of ``software`` survive."""
-        for crash in self.observed:
-            crash.clear_content(content, software)
+        for observed in self.observed:
+            observed.clear_content(content, software)
 
     def leader_changed(self) -> None:
         """Report all remembered crashes to a new leader."""
-        for crash in self.observed:
-            crash.acknowledged = False
+        for observed in self.observed:
+            observed.acknowledged = False
         self._retry_reports()
 
     async def flush(self) -> None:
@@ -234,7 +234,7 @@
         self.health.record_failure(server.instance, self.clock.now(), hard=True)
         if not suspects:
             return
-        end = ServerCrash(
+        crash = ServerCrash(
             instance=server.instance,
             service=server.service,
             software=server.software,
@@ -242,7 +242,7 @@
                 suspect
                 for suspect in suspects
                 if suspect.content
-                and not self.served.contains(suspect.content, server.software, at)
+                and not self.recent_answers.contains(suspect.content, server.software, at)
             ),
         )
         self.node.events.emit(
@@ -250,18 +250,18 @@
             Event.backend_ended,
             backend=server.instance,
             under_way=len(suspects),
-            contents=[suspect.content for suspect in end.suspects][:_CONTENTS_LOGGED],
+            contents=[suspect.content for suspect in crash.suspects][:_CONTENTS_LOGGED],
         )
-        crash = ObservedCrash(at=at, end=end)
-        self.observed.append(crash)
-        self.on_crash(end, at)
-        await self._report([crash], LEADER_CALL_S)
+        observed = ObservedCrash(at=at, crash=crash)
+        self.observed.append(observed)
+        self.on_crash(crash, at)
+        await self._report([observed], LEADER_CALL_S)
 
     def _unacknowledged(self, now: float) -> list[ObservedCrash]:
         return [
-            crash
-            for crash in self.observed
-            if not crash.acknowledged and now - crash.at < EVIDENCE_RETENTION_S
+            observed
+            for observed in self.observed
+            if not observed.acknowledged and now - observed.at < EVIDENCE_RETENTION_S
         ]
 
     def _retry_reports(self) -> None:
@@ -274,7 +274,7 @@
             return
         self.last_report_at = self.clock.now()
         report = CrashReport(
-            ends=tuple(crash.report(self.last_report_at) for crash in unacknowledged)
+            ends=tuple(observed.report(self.last_report_at) for observed in unacknowledged)
         )
         leader, epoch = self.follower.leader, self.follower.epoch
         try:
@@ -284,5 +284,5 @@
             return
         if epoch == self.follower.epoch:
             acknowledged = not isinstance(received.body.reply, Redirect)
-            for crash in unacknowledged:
-                crash.acknowledged = acknowledged
+            for observed in unacknowledged:
+                observed.acknowledged = acknowledged
--- a/ringseam/gateway/following/follower.py
+++ b/ringseam/gateway/following/follower.py
@@ -171,26 +171,26 @@
             if not await self._watch(address):
                 await asyncio.sleep(_RETRY_DELAY_S)
 
-    def apply(self, news: WatchUpdate) -> None:
+    def apply(self, update: WatchUpdate) -> None:
         """Apply the changes in a watch reply that are newer than the local state."""
-        if news.number > self.newest_number:
-            self.newest_number = news.number
+        if update.number > self.newest_number:
+            self.newest_number = update.number
             self.newest_seen_at = self.node.clock.now()
-        self._apply_zones(news.zones)
+        self._apply_zones(update.zones)
         if not self.epoch and not self.view.backends:
             self.cold_servers.observed_since = self.node.clock.now()
-        for report in news.reports:
+        for report in update.reports:
             self._apply_report(report)
-        for instance in news.silent:
+        for instance in update.silent:
             self.view.remove(instance)
-        self._apply_quarantine(news)
-        self.epoch = news.epoch
-        self.cursor.since = news.upto
-        if news.warm and self.cursor.pruned_in_epoch != news.epoch:
-            self._prune(news)
-        self.gateways = news.gateways
-        if news.control:
-            self.addresses = list(news.control)
+        self._apply_quarantine(update)
+        self.epoch = update.epoch
+        self.cursor.since = update.upto
+        if update.warm and self.cursor.pruned_in_epoch != update.epoch:
+            self._prune(update)
+        self.gateways = update.gateways
+        if update.control:
+            self.addresses = list(update.control)
         self._notify_change()
         if self.newest_number > self.table.number and not self.fetcher.is_running:
             self.fetcher.is_running = True
@@ -259,20 +259,20 @@
         self.leader = reply.leader
         return bool(reply.leader)
 
-    def _apply_quarantine(self, news: WatchUpdate) -> None:
+    def _apply_quarantine(self, update: WatchUpdate) -> None:
         """Apply the verdicts of the leader.
 
         A new leader may lack the latest verdicts of its predecessor; they stay in force until
         it has received reports from all gateways.
         """
-        if news.quarantine is None:
+        if update.quarantine is None:
             return
-        held = news.quarantine
-        if news.epoch != self.epoch and not news.warm:
-            merged = {**self.quarantine.quarantined, **held.quarantined}
-            held = msgspec.structs.replace(held, quarantined=merged)
-        self.quarantine = held
-        self.confinement.keep_only(held.confined)
+        snapshot = update.quarantine
+        if update.epoch != self.epoch and not update.warm:
+            merged = {**self.quarantine.quarantined, **snapshot.quarantined}
+            snapshot = msgspec.structs.replace(snapshot, quarantined=merged)
+        self.quarantine = snapshot
+        self.confinement.keep_only(snapshot.confined)
 
     def _apply_report(self, report: BackendReport) -> None:
         if self.view.apply(report) and report.cold_left_s:
@@ -298,11 +298,11 @@
             if report.zone in zones and service is not None and service.cold is not None:
                 self.cold_servers.mark_cold(report.instance, now + service.cold.duration_s)
 
-    def _prune(self, news: WatchUpdate) -> None:
+    def _prune(self, update: WatchUpdate) -> None:
         """Remove servers that a complete directory does not contain."""
-        if news.whole:
-            self.cursor.pruned_in_epoch = news.epoch
-            self.view.keep_only({report.instance for report in news.reports})
+        if update.whole:
+            self.cursor.pruned_in_epoch = update.epoch
+            self.view.keep_only({report.instance for report in update.reports})
         else:
             self.epoch = ''
 
--- a/ringseam/gateway/following/guard.py
+++ b/ringseam/gateway/following/guard.py
@@ -61,7 +61,7 @@
         self.clock = node.clock
         self.client = client
         self.follower = follower
-        self.served = RecentAnswers()
+        self.recent_answers = RecentAnswers()
         #: Verdicts based only on the observations of this gateway.
         self.local_quarantine = Quarantine()
         self.tasks = TaskSet()
@@ -73,11 +73,11 @@
             follower=follower,
             health=health,
             pool=pool,
-            served=self.served,
+            recent_answers=self.recent_answers,
             on_crash=self._on_crash,
         )
         #: The quarantine and the epoch that were last applied.
-        self.applied_news = QuarantineSnapshot(version=0)
+        self.applied_snapshot = QuarantineSnapshot(version=0)
         self.epoch = ''
 
     # -- evidence -----------------------------------------------------------
@@ -85,7 +85,7 @@
     def record_success(self, server: BackendReport, content: ContentId) -> None:
         """Record that a server answered a content successfully, so it survives the content."""
         now = self.clock.now()
-        self.served.record(content, server.software, now)
+        self.recent_answers.record(content, server.software, now)
         if (
             content in self.local_quarantine.evidence.crashes_by_content
             or self._is_listed_by_leader(content)
@@ -138,25 +138,25 @@
 
     def apply_quarantine(self) -> None:
         """Apply the quarantine and the epoch that the follower has received."""
-        news = self.follower.quarantine
+        snapshot = self.follower.quarantine
         # The epoch is empty while the full directory is requested from the same leader.
         if self.follower.epoch not in {'', self.epoch}:
             self.epoch = self.follower.epoch
             self.crashes.leader_changed()
-        if news is self.applied_news:
+        if snapshot is self.applied_snapshot:
             return
-        for content in news.quarantined.keys() - self.applied_news.quarantined.keys():
+        for content in snapshot.quarantined.keys() - self.applied_snapshot.quarantined.keys():
             self.node.events.emit(
                 logger,
                 Event.quarantine_in_force,
                 content=content,
-                since_ms=news.quarantined[content],
-                version=news.version,
+                since_ms=snapshot.quarantined[content],
+                version=snapshot.version,
             )
-        self.applied_news = news
+        self.applied_snapshot = snapshot
         now = self.clock.now()
-        for known, software in list(self.served.answered_at):
-            if known in news.suspects and self.served.contains(known, software, now):
+        for known, software in list(self.recent_answers.answered_at):
+            if known in snapshot.suspects and self.recent_answers.contains(known, software, now):
                 self._report_served(known, software)
 
     def evaluate(self) -> None:
@@ -177,15 +177,15 @@
         """
         return self.last_crash_at.get(content, float('-inf')) < trial_at
 
-    def _on_crash(self, end: ServerCrash, at: float) -> None:
-        self.local_quarantine.record_crash(end, at)
-        for suspect in end.suspects:
+    def _on_crash(self, crash: ServerCrash, at: float) -> None:
+        self.local_quarantine.record_crash(crash, at)
+        for suspect in crash.suspects:
             if self._is_suspected(suspect.content):
                 self.last_crash_at[suspect.content] = at
 
     def _is_listed_by_leader(self, content: ContentId) -> bool:
-        news = self.follower.quarantine
-        return content in news.suspects or content in news.quarantined
+        snapshot = self.follower.quarantine
+        return content in snapshot.suspects or content in snapshot.quarantined
 
     def _is_suspected(self, content: ContentId) -> bool:
         return (
--- a/ringseam/gateway/following/serverwords.py
+++ b/ringseam/gateway/following/serverwords.py
@@ -34,24 +34,24 @@
         #: Servers for which an unreadable limit has been logged.
         self.reported_unreadable: set[BackendId] = set()
 
-    def record(self, instance: BackendId, marks: ResponseMetadata) -> None:
+    def record(self, instance: BackendId, metadata: ResponseMetadata) -> None:
         """Record the notices in a response; ``instance`` is empty if the server is unknown."""
         if not instance:
             return
-        if marks.rate_limit_malformed:
+        if metadata.rate_limit_malformed:
             self._log_unreadable_limit(instance)
         else:
-            self._record_limit(instance, marks)
-        if marks.pause_s is not None:
-            self._record_pause(instance, marks, marks.pause_s)
-        if marks.leaving and instance not in self.leaving:
+            self._record_limit(instance, metadata)
+        if metadata.pause_s is not None:
+            self._record_pause(instance, metadata, metadata.pause_s)
+        if metadata.leaving and instance not in self.leaving:
             self.leaving.add(instance)
             self.view.mark_leaving(instance)
             self.node.events.emit(
                 logger,
                 Event.server_leaving,
                 backend=instance,
-                request=marks.attempt_id,
+                request=metadata.attempt_id,
             )
 
     def keep_only(self, instances: set[BackendId]) -> None:
@@ -66,21 +66,23 @@
 
     # -- helpers ------------------------------------------------------------
 
-    def _record_limit(self, instance: BackendId, marks: ResponseMetadata) -> None:
+    def _record_limit(self, instance: BackendId, metadata: ResponseMetadata) -> None:
         was_limited = self.limits.of(instance) is not None
-        self.limits.record(instance, marks.rate_limit_per_s, self.clock.now())
-        if was_limited == (marks.rate_limit_per_s is not None):
+        self.limits.record(instance, metadata.rate_limit_per_s, self.clock.now())
+        if was_limited == (metadata.rate_limit_per_s is not None):
             return
         event = Event.limit_ended if was_limited else Event.limit_named
         self.node.events.emit(
             logger,
             event,
             backend=instance,
-            per_s=marks.rate_limit_per_s,
-            request=marks.attempt_id,
+            per_s=metadata.rate_limit_per_s,
+            request=metadata.attempt_id,
         )
 
-    def _record_pause(self, instance: BackendId, marks: ResponseMetadata, pause_s: float) -> None:
+    def _record_pause(
+        self, instance: BackendId, metadata: ResponseMetadata, pause_s: float
+    ) -> None:
         now = self.clock.now()
         is_new = not self.pauses.remaining_s(instance, now)
         self.pauses.record(instance, pause_s, now)
@@ -89,7 +91,7 @@
                 logger,
                 Event.pause_requested,
                 backend=instance,
-                request=marks.attempt_id,
+                request=metadata.attempt_id,
                 pause_s=pause_s,
             )
 
--- a/ringseam/gateway/requests/admission.py
+++ b/ringseam/gateway/requests/admission.py
@@ -46,11 +46,11 @@
     requests: int = 0
     shorter_requests: int = 0
 
-    def is_outdated(self, left_s: float, now: float) -> bool:
-        """Return whether the typical limit is too old, or ``left_s`` clearly exceeds it."""
+    def is_outdated(self, remaining_s: float, now: float) -> bool:
+        """Return whether the typical limit is too old, or ``remaining_s`` clearly exceeds it."""
         return (
             now - self.updated_at > _TYPICAL_LIMIT_TTL_S
-            or _FIRST_ATTEMPT_SHARE * left_s > self.limit_s
+            or _FIRST_ATTEMPT_SHARE * remaining_s > self.limit_s
         )
 
     @property
@@ -76,31 +76,31 @@
         """Seed the jitter."""
         self.random = random.Random(self.seed)  # noqa: S311 - jitter only
 
-    def since_first_attempt_s(self, route: str, left_s: float | None, now: float) -> float:
+    def since_first_attempt_s(self, route: str, remaining_s: float | None, now: float) -> float:
         """Return the time since a client's first attempt, and update the typical limit.
 
         The result is 0 for a first attempt. Clients of a route usually start with the
         same time limit, so a request with less time left is a retry after a refusal.
         """
-        if left_s is None:
+        if remaining_s is None:
             return 0
         typical = self.typical_limits.get(route)
-        if typical is None or typical.is_outdated(left_s, now):
-            typical = TypicalTimeLimit(limit_s=left_s, updated_at=now)
+        if typical is None or typical.is_outdated(remaining_s, now):
+            typical = TypicalTimeLimit(limit_s=remaining_s, updated_at=now)
             self.typical_limits[route] = typical
-        if left_s >= typical.limit_s:
-            typical.limit_s = left_s
+        if remaining_s >= typical.limit_s:
+            typical.limit_s = remaining_s
             typical.updated_at = now
         typical.requests += 1
-        if left_s >= _FIRST_ATTEMPT_SHARE * typical.limit_s:
+        if remaining_s >= _FIRST_ATTEMPT_SHARE * typical.limit_s:
             return 0
         typical.shorter_requests += 1
-        return typical.limit_s - left_s if typical.identifies_retries else 0
+        return typical.limit_s - remaining_s if typical.identifies_retries else 0
 
-    def retry_after_s(self, predicted_s: float, left_s: float) -> float:
+    def retry_after_s(self, predicted_s: float, remaining_s: float) -> float:
         """Return the Retry-After of a refusal, with jitter."""
         delay_s = _MIN_RETRY_AFTER_S + predicted_s + self.random.random() * _RETRY_AFTER_JITTER_S
-        return max(0, min(delay_s, left_s * _MAX_RETRY_AFTER_SHARE))
+        return max(0, min(delay_s, remaining_s * _MAX_RETRY_AFTER_SHARE))
 
     def check(self, context: RequestContext, predicted_s: float, now: float) -> Refusal | None:
         """Return a refusal if a request should not be started, else None.
--- a/ringseam/gateway/requests/attempts.py
+++ b/ringseam/gateway/requests/attempts.py
@@ -72,7 +72,7 @@
         self.selector = ServerSelector(
             clock=node.clock,
             follower=follower,
-            turns=placements.turns,
+            permits=placements.permits,
             policy=LatencyPolicy(health=sender.health, zone=node.zone),
         )
 
@@ -300,11 +300,11 @@
 
     async def _refuse(self, context: RequestContext, detail: str) -> None:
         """Refuse the request as not run, with the time until a server may accept it."""
-        left_s = max(0, context.deadline - self.clock.now())
+        remaining_s = max(0, context.deadline - self.clock.now())
         await self.responder.refuse(
             context.exchange,
             context.request,
             SERVERS_LIMITED if context.available_in_s else detail,
-            retry_after_s=max(DEFAULT_RETRY_AFTER_S, min(context.available_in_s, left_s)),
+            retry_after_s=max(DEFAULT_RETRY_AFTER_S, min(context.available_in_s, remaining_s)),
             route=context.route.name,
         )
--- a/ringseam/gateway/requests/forwarding.py
+++ b/ringseam/gateway/requests/forwarding.py
@@ -214,7 +214,7 @@
             await self.attempts.run(context, None)
             return
         stages = StageRun(
-            work=context,
+            context=context,
             pieces=self.pieces,
             clock=self.clock,
             table=self.follower.table,
@@ -303,14 +303,14 @@
         if self.attempts.guard.is_quarantined(context.content_id):
             await self.responder.reject_content(context)
             return
-        left_s = context.deadline - self.clock.now()
+        remaining_s = context.deadline - self.clock.now()
         # If only this process stops, another one may serve the request at once.
         predicted_s = 0 if self.shutting_down.is_set() else stages.predicted_s()
         await self.responder.refuse(
             context.exchange,
             context.request,
             f'stages: {fault.fault.value}',
-            retry_after_s=self.admission.retry_after_s(predicted_s, left_s),
+            retry_after_s=self.admission.retry_after_s(predicted_s, remaining_s),
             route=context.route.name,
         )
 
--- a/ringseam/gateway/requests/sending.py
+++ b/ringseam/gateway/requests/sending.py
@@ -42,14 +42,14 @@
         health: HealthTracker,
         silence: SilenceDetector,
         clock: Clock,
-        words: ServerNotices,
+        notices: ServerNotices,
     ) -> None:
         """Create a sender over ``pool`` that evaluates the headers of all responses."""
         self.pool = pool
         self.health = health
         self.silence = silence
         self.clock = clock
-        self.words = words
+        self.notices = notices
 
     async def send(
         self,
@@ -133,35 +133,37 @@
     ) -> TryOutcome:
         for _ in range(_MAX_STRAY_RESPONSES + 1):
             head = await channel.read_head()
-            marks = decode_response_metadata(head)
-            if marks.attempt_id in {'', context.request.attempt_id}:
+            metadata = decode_response_metadata(head)
+            if metadata.attempt_id in {'', context.request.attempt_id}:
                 break
             # A response to an earlier request on this connection.
             await channel.read_body()
             channel.skip_response()
-        self.silence.data_received(server.instance, marks.attempt_id, self.clock.now(), event=False)
-        self.words.record(server.instance, marks)
-        if marks.load is not None:
-            self._record_load(server, marks.load.running, marks.load.waiting)
-        if marks.not_run:
+        self.silence.data_received(
+            server.instance, metadata.attempt_id, self.clock.now(), event=False
+        )
+        self.notices.record(server.instance, metadata)
+        if metadata.load is not None:
+            self._record_load(server, metadata.load.running, metadata.load.waiting)
+        if metadata.not_run:
             await self._discard_body(channel)
             return NotRun(
                 detail=f'{server.address}: refused with {head.status}',
                 refused_by_server=True,
                 status=head.status,
             )
-        if marks.attempt_id != context.request.attempt_id or marks.encoded:
+        if metadata.attempt_id != context.request.attempt_id or metadata.encoded:
             channel.close()
             return Lost(
                 cause=LossCause.not_authentic,
                 detail=f'{server.address}: encoded response or wrong id',
             )
-        if _is_success(head) and not marks.authentic:
+        if _is_success(head) and not metadata.authentic:
             channel.close()
             return Lost(
                 cause=LossCause.not_authentic, detail=f'{server.address}: response has no seal'
             )
-        return Answered(head=head, marks=marks, channel=channel)
+        return Answered(head=head, marks=metadata, channel=channel)
 
     async def _discard_body(self, channel: HttpChannel) -> None:
         try:
--- a/ringseam/gateway/requests/serverselection.py
+++ b/ringseam/gateway/requests/serverselection.py
@@ -29,14 +29,14 @@
         *,
         clock: Clock,
         follower: Follower,
-        turns: PermitAllocator,
+        permits: PermitAllocator,
         policy: BalancingPolicy,
     ) -> None:
-        """Create a selector that applies ``policy`` to the servers that ``turns`` allows."""
+        """Create a selector that applies ``policy`` to the servers that ``permits`` allows."""
         self.clock = clock
         self.follower = follower
-        self.turns = turns
-        self.pace = turns.pacer
+        self.permits = permits
+        self.pacer = permits.pacer
         self.policy = policy
 
     async def choose(self, context: RequestContext) -> BackendReport | None:
@@ -52,7 +52,7 @@
     def has_alternative(self, context: RequestContext) -> bool:
         """Return whether an untried server accepts requests now."""
         now = self.clock.now()
-        pauses = self.pace.pauses
+        pauses = self.pacer.pauses
         return any(
             not pauses.remaining_s(server.instance, now) for server in self._untried(context)
         )
@@ -68,28 +68,28 @@
         cold = service.cold if service else None
         peers = self.follower.gateway_names
         waits = {
-            server.instance: self.pace.cold_wait_s(server.instance, cold, now, peers=peers)
+            server.instance: self.pacer.cold_wait_s(server.instance, cold, now, peers=peers)
             for server in servers
         }
         chosen = self.policy.choose(servers, now, waits)
         if chosen is None or now + waits[chosen.instance] >= context.deadline:
             return None
-        turn = await self._request_permit(context, chosen)
-        if not turn.granted:
-            context.available_in_s = min(turn.wait_s, context.available_in_s or turn.wait_s)
+        permit = await self._request_permit(context, chosen)
+        if not permit.granted:
+            context.available_in_s = min(permit.wait_s, context.available_in_s or permit.wait_s)
             others = [server for server in servers if server.instance != chosen.instance]
             return await self._select(context, others)
-        wait_s = max(turn.wait_s, waits[chosen.instance])
-        self.pace.record_send(chosen.instance, now + wait_s)
+        wait_s = max(permit.wait_s, waits[chosen.instance])
+        self.pacer.record_send(chosen.instance, now + wait_s)
         if wait_s:
             await asyncio.sleep(wait_s)
         return chosen
 
     async def _request_permit(self, context: RequestContext, server: BackendReport) -> SendPermit:
         """Request a send permit; it is granted at once if the server has no rate limit."""
-        left_s = max(0, context.deadline - self.clock.now())
-        longest_s = min(max_wait_s(context.route.priority), left_s)
-        return await self.turns.acquire(server, longest_s)
+        remaining_s = max(0, context.deadline - self.clock.now())
+        longest_s = min(max_wait_s(context.route.priority), remaining_s)
+        return await self.permits.acquire(server, longest_s)
 
     def _untried(self, context: RequestContext) -> list[BackendReport]:
         """Return the servers that the request has not been sent to."""
@@ -104,7 +104,7 @@
         """Return the servers that are not paused; store when the first pause ends."""
         now = self.clock.now()
         waits = {
-            server.instance: self.pace.pauses.remaining_s(server.instance, now)
+            server.instance: self.pacer.pauses.remaining_s(server.instance, now)
             for server in servers
         }
         context.available_in_s = min((wait_s for wait_s in waits.values() if wait_s), default=0)
@@ -112,5 +112,5 @@
 
     def _is_available(self, server: BackendReport) -> bool:
         """Return whether a server still accepts requests of this gateway."""
-        paused = self.pace.pauses.remaining_s(server.instance, self.clock.now())
+        paused = self.pacer.pauses.remaining_s(server.instance, self.clock.now())
         return not paused and self.follower.is_serving(server)
--- a/ringseam/gateway/role.py
+++ b/ringseam/gateway/role.py
@@ -85,7 +85,7 @@
             addresses=cluster_addresses(own['seeds'], own['cluster_ports']),
             on_change=self._apply_changes,
         )
-        self.words = ServerNotices(
+        self.notices = ServerNotices(
             node=self.node,
             metrics=self.metrics,
             view=self.follower.view,
@@ -98,7 +98,7 @@
             pool=self.pool,
         )
         self.ownership = Ownership(follower=self.follower, name=self.node.name)
-        self.turns = PermitAllocator(
+        self.permits = PermitAllocator(
             node=self.node,
             client=self.client,
             follower=self.follower,
@@ -107,8 +107,8 @@
                 name=self.node.name,
                 cold_servers=self.follower.cold_servers,
                 health=self.health,
-                limits=self.words.limits,
-                pauses=self.words.pauses,
+                limits=self.notices.limits,
+                pauses=self.notices.pauses,
                 overload_factor=own['cold_over'],
                 burst_allowance=own['cold_slack'],
             ),
@@ -119,16 +119,16 @@
             follower=self.follower,
             health=self.health,
             ownership=self.ownership,
-            turns=self.turns,
+            permits=self.permits,
         )
         self.piece_scheduler = PieceScheduler(
             node=self.node,
             follower=self.follower,
-            calls=PieceCalls(pool=self.pool, clock=self.node.clock, words=self.words),
+            calls=PieceCalls(pool=self.pool, clock=self.node.clock, notices=self.notices),
             retries=self.retries,
             guard=self.guard,
             ownership=self.ownership,
-            pace=self.turns.pacer,
+            pacer=self.permits.pacer,
         )
         self.pieces = PieceClient(
             clock=self.node.clock,
@@ -150,7 +150,7 @@
                     health=self.health,
                     silence=self.silence,
                     clock=self.node.clock,
-                    words=self.words,
+                    notices=self.notices,
                 ),
                 placements=self.placements,
                 retries=self.retries,
@@ -227,7 +227,7 @@
         self.server.add(RELEASE, self.pieces.serve_release)
         self.server.add(PLACE, self.placements.serve_place)
         self.server.add(PROGRESS, self.placements.serve_progress)
-        self.turns.register(self.server)
+        self.permits.register(self.server)
 
     async def _answer_probe(self, exchange: Exchange) -> None:
         path = exchange.request.path
@@ -244,9 +244,9 @@
         self.client_server.limits.header_timeout_s = limits.header_timeout_s
         self.client_server.limits.idle_timeout_s = limits.idle_timeout_s
         self.guard.apply_quarantine()
-        held = self.follower.quarantine
-        self.metrics.put('contents_quarantined', len(held.quarantined))
-        self.metrics.put('contents_suspected', len(held.suspects))
+        quarantine = self.follower.quarantine
+        self.metrics.put('contents_quarantined', len(quarantine.quarantined))
+        self.metrics.put('contents_suspected', len(quarantine.suspects))
         self.metrics.put('zones_drained', len(self.follower.view.drained.names))
         self.retries.processes = max(1, len(self.follower.gateways))
         self.ownership.refresh()
@@ -259,9 +259,9 @@
             known = set(self.follower.view.backends)
             self.health.keep_only(known)
             self.placements.keep_only(known)
-            self.turns.pacer.keep_only(known)
-            self.turns.keep_only(known)
-            self.words.keep_only(known)
+            self.permits.pacer.keep_only(known)
+            self.permits.keep_only(known)
+            self.notices.keep_only(known)
 
     async def _run_monitor(self) -> None:
         while True:  # noqa: WPS457 - ends with the role
--- a/ringseam/gateway/stages/batching.py
+++ b/ringseam/gateway/stages/batching.py
@@ -65,7 +65,7 @@
 
     service: ServiceName
     health: HealthTracker
-    pace: Pacer = field(default_factory=Pacer)
+    pacer: Pacer = field(default_factory=Pacer)
     #: Queued pieces, in order of arrival.
     waiting: dict[Piece, None] = field(default_factory=dict)
     capacity: ResultCapacity = field(default_factory=ResultCapacity)
@@ -182,7 +182,7 @@
         return WaitEstimate(
             until_free_s=max(
                 self.throughput.until_free_s(servers, spec, now),
-                min(self.pace.call_wait_s(server.instance, now) for server in servers),
+                min(self.pacer.call_wait_s(server.instance, now) for server in servers),
             ),
             departures_per_s=self._pieces_per_s(servers, spec, now),
             arrivals_per_s=self.throughput.arrivals.per_s(now),
@@ -222,7 +222,7 @@
             for server in servers
             if calls.get(server.instance, 0) < spec.slots
             and self.full_until.get(server.instance, 0) <= now
-            and not self.pace.call_wait_s(server.instance, now)
+            and not self.pacer.call_wait_s(server.instance, now)
         ]
         if len(idle) > _MAX_COMPARED_SERVERS:
             idle = self.random.sample(idle, _MAX_COMPARED_SERVERS)
@@ -349,14 +349,14 @@
             server
             for server in servers
             if self._is_healthy(server, now)
-            and not self.pace.pauses.remaining_s(server.instance, now)
+            and not self.pacer.pauses.remaining_s(server.instance, now)
         ]
         healthy = sum(self._usable_share(server, spec) for server in working)
         return self.throughput.pieces_per_s(healthy, spec)
 
     def _usable_share(self, server: BackendReport, spec: BatchSpec) -> float:
         """Return the fraction of its time that a server's announced rate limit lets it work."""
-        limit = self.pace.limits.of(server.instance)
+        limit = self.pacer.limits.of(server.instance)
         return 1 if limit is None else min(1, limit.send_per_s * spec.full_call_s / spec.slots)
 
     def _start_call(
@@ -367,7 +367,7 @@
         now: float,
     ) -> StageCall:
         self.cancel(pieces)
-        self.pace.record_send(server.instance, now)
+        self.pacer.record_send(server.instance, now)
         call = StageCall(
             server=server,
             pieces=pieces,
--- a/ringseam/gateway/stages/calls.py
+++ b/ringseam/gateway/stages/calls.py
@@ -38,11 +38,11 @@
 class PieceCalls:
     """Call stage servers over pooled connections."""
 
-    def __init__(self, *, pool: HttpChannelPool, clock: Clock, words: ServerNotices) -> None:
-        """Use the connections of ``pool``; ``words`` hears all answers."""
+    def __init__(self, *, pool: HttpChannelPool, clock: Clock, notices: ServerNotices) -> None:
+        """Use the connections of ``pool``; ``notices`` records all responses."""
         self.pool = pool
         self.clock = clock
-        self.words = words
+        self.notices = notices
 
     async def run(self, call: StageCall) -> list[PieceResult]:
         """Return the results of a call, in the order of its pieces.
@@ -86,11 +86,11 @@
             channel.close()
             raise
         self.pool.release(channel)
-        marks = decode_response_metadata(head)
-        self.words.record(instance, marks)
+        metadata = decode_response_metadata(head)
+        self.notices.record(instance, metadata)
         if head.status != _OK:
             detail = f'{address}: status {head.status}'
-            if head.status == _UNAVAILABLE and marks.not_run:
+            if head.status == _UNAVAILABLE and metadata.not_run:
                 raise FullError(detail, sent=False)
-            raise ChannelError(detail, sent=not marks.not_run)
+            raise ChannelError(detail, sent=not metadata.not_run)
         return answer
--- a/ringseam/gateway/stages/graph.py
+++ b/ringseam/gateway/stages/graph.py
@@ -44,7 +44,7 @@
 class StageRun:
     """One request's stages and their results, which must be released after use."""
 
-    work: RequestContext
+    context: RequestContext
     pieces: PieceClient
     clock: Clock
     table: RouteTable
@@ -62,14 +62,14 @@
         """Plan the stages that have pieces."""
         self.plan = StagePlan(
             stages=self.stages,
-            counts=self.work.request.pieces,
+            counts=self.context.request.pieces,
             services=self.table.services,
         )
 
     @property
     def stages(self) -> tuple[RouteStage, ...]:
         """Return the stages of the request's route."""
-        return self.work.route.stages
+        return self.context.route.stages
 
     @property
     def has_all_inputs(self) -> bool:
@@ -102,7 +102,7 @@
         for number, stage in enumerate(stages):
             start = max((ends[predecessor] for predecessor in stage.after), default=0)
             if self.plan.piece_count(number):
-                start += self.pieces.wait_s(stage.service, self.work.precedence)
+                start += self.pieces.wait_s(stage.service, self.context.precedence)
                 start += self.plan.call_s(number)
             ends.append(start)
         return max(ends, default=0)
@@ -143,7 +143,7 @@
 
     def _is_in_time(self) -> bool:
         """Return whether there is time to run the stages from the beginning."""
-        return self.clock.now() + self.predicted_s() + FIRST_EVENT_S < self.work.deadline
+        return self.clock.now() + self.predicted_s() + FIRST_EVENT_S < self.context.deadline
 
     async def _run_once(self) -> PieceFault | None:
         stages = self.stages
@@ -204,25 +204,25 @@
         count: int,
         inputs: tuple[str, ...],
     ) -> PieceJob:
-        work = self.work
+        context = self.context
         return PieceJob(
-            attempt_id=work.request.attempt_id,
+            attempt_id=context.request.attempt_id,
             service=stage.service,
             stage=number,
             pieces=tuple(range(count)),
-            key='' if inputs else work.request.piece_key,
+            key='' if inputs else context.request.piece_key,
             inputs=inputs,
-            due=work.scheduling_deadline - _ENGINE_BUDGET_S - self.plan.remaining_s(number),
-            deadline=work.deadline - self.plan.min_remaining_s(number),
-            rank=work.precedence.rank,
-            returned=work.precedence.returned,
+            due=context.scheduling_deadline - _ENGINE_BUDGET_S - self.plan.remaining_s(number),
+            deadline=context.deadline - self.plan.min_remaining_s(number),
+            rank=context.precedence.rank,
+            returned=context.precedence.returned,
             result_bytes=stage.result_bytes,
             expires=self._expiry_of_inputs(stage),
             zone=self._preferred_zone(number, inputs),
-            zones=work.allowed_zones,
+            zones=context.allowed_zones,
             inputs_of=self.plan.sole_input_service(number),
-            suspect=work.suspect,
-            trial_at=work.trial_at,
+            suspect=context.suspect,
+            trial_at=context.trial_at,
         )
 
     def _preferred_zone(self, number: int, inputs: tuple[str, ...]) -> str:
--- a/ringseam/gateway/stages/scheduler.py
+++ b/ringseam/gateway/stages/scheduler.py
@@ -84,17 +84,17 @@
         retries: RetryPolicy,
         guard: QuarantineGuard,
         ownership: Ownership,
-        pace: Pacer,
+        pacer: Pacer,
     ) -> None:
         """Use the servers that ``follower`` knows."""
         self.node = node
         self.follower = follower
         self.calls = calls
-        self.health = pace.health
+        self.health = pacer.health
         self.retries = retries
         self.guard = guard
         self.ownership = ownership
-        self.pace = pace
+        self.pacer = pacer
         self.log = CallLog(node=node)
         self.services: dict[ServiceName, ServiceState] = {}
         self.tasks = TaskSet()
@@ -208,7 +208,9 @@
             return
         service = state.batcher.service
         servers = (server.instance for server in self._servers(service))
-        waits = [wait_s for instance in servers if (wait_s := self.pace.call_wait_s(instance, now))]
+        waits = [
+            wait_s for instance in servers if (wait_s := self.pacer.call_wait_s(instance, now))
+        ]
         if waits:
             state.next_permit_at = now + min(waits)
             loop = asyncio.get_running_loop()
@@ -416,13 +418,13 @@
         """
         instance = state.server_of(state.pending_releases[address])
         now = self.node.clock.now()
-        if self.pace.limits.of(instance) is None:
-            return max(_RELEASE_BATCH_S, self.pace.pauses.remaining_s(instance, now))
+        if self.pacer.limits.of(instance) is None:
+            return max(_RELEASE_BATCH_S, self.pacer.pauses.remaining_s(instance, now))
         last_at = state.released_at.get(instance, float('-inf'))
-        pause_s = self.pace.pauses.remaining_s(instance, now)
+        pause_s = self.pacer.pauses.remaining_s(instance, now)
         released_at = max(now + max(_RELEASE_BATCH_S, pause_s), last_at + _RELEASE_BATCH_LIMITED_S)
         state.released_at[instance] = released_at
-        self.pace.record_requests(instance, released_at)
+        self.pacer.record_requests(instance, released_at)
         return released_at - now
 
     # -- helpers ------------------------------------------------------------
@@ -439,7 +441,7 @@
 
     def _state(self, service: ServiceName) -> ServiceState:
         if service not in self.services:
-            batcher = Batcher(service=service, health=self.health, pace=self.pace)
+            batcher = Batcher(service=service, health=self.health, pacer=self.pacer)
             self.services[service] = ServiceState(batcher=batcher)
         return self.services[service]
 
--- a/ringseam/model/engines.py
+++ b/ringseam/model/engines.py
@@ -285,10 +285,10 @@
         channel.first_event = first
         await asyncio.sleep(latency_s)
         head = ResponseHead(status=_OK, headers=[('Content-Type', 'text/event-stream')])
-        marks = engine.notices.response_metadata(attempt, engine.clock.now())
-        self.notices.record(server.instance, marks)
+        metadata = engine.notices.response_metadata(attempt, engine.clock.now())
+        self.notices.record(server.instance, metadata)
         # ModelChannel stands in for a channel of the connection pool.
-        return Answered(head=head, marks=marks, channel=channel)  # type: ignore[arg-type]
+        return Answered(head=head, marks=metadata, channel=channel)  # type: ignore[arg-type]
 
 
 def _crashes_engine(run: EngineRun) -> bool:
--- a/ringseam/model/gateways.py
+++ b/ringseam/model/gateways.py
@@ -203,7 +203,7 @@
             follower=self.follower,
             health=self.health,
             ownership=ownership,
-            turns=permits,
+            permits=permits,
         )
         retries = WindowRetries(slack=_RETRY_SLACK)
         sender: Any = ModelSender(
@@ -236,7 +236,7 @@
             retries=retries,
             guard=self.guard,
             ownership=ownership,
-            pace=permits.pacer,
+            pacer=permits.pacer,
         )
         self.pieces = PieceClient(
             clock=clock, client=client, scheduler=self.piece_scheduler, ownership=ownership
--- a/tests/test_entry/test_entry_limits.py
+++ b/tests/test_entry/test_entry_limits.py
@@ -13,7 +13,7 @@
 from ringseam.retries import BlindRetries, BudgetRetries, Retry
 from ringseam.shares import LEASE_S, LEASED_PART, ShareLeases
 
-RETRY = Retry(service='p/q', now=0, left_s=1, needed_s=0.01)
+RETRY = Retry(service='p/q', now=0, remaining_s=1, needed_s=0.01)
 ACCOUNT = Account(name='p/a', token_sha256='', rate_per_s=10, concurrency=4, weight=1)
 STAGE = Stage(
     name='p/s', pool='p/q', path='/', repeatable=True, expected_ms=20, model='', max_tries=3
@@ -86,7 +86,9 @@
 
 
 def test_no_retry_without_time_for_it():
-    assert not BudgetRetries().may_retry(Retry(service='s', now=0, left_s=0.005, needed_s=0.01))
+    assert not BudgetRetries().may_retry(
+        Retry(service='s', now=0, remaining_s=0.005, needed_s=0.01)
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_gateway/test_engines/test_engines_placement.py
+++ b/tests/test_gateway/test_engines/test_engines_placement.py
@@ -51,7 +51,7 @@
 
 def new_placer(kind=Placer):
     health = HealthTracker()
-    return kind(health=health, pace=Pacer(cold_servers=ColdServers(), health=health))
+    return kind(health=health, pacer=Pacer(cold_servers=ColdServers(), health=health))
 
 
 def chosen_engine(placer, request, service=LLM, now=0):
--- a/tests/test_gateway/test_following/test_following_coldservers.py
+++ b/tests/test_gateway/test_following/test_following_coldservers.py
@@ -112,7 +112,7 @@
     refused, and each can still be answered on time.
     """
     until = {f'e{number}': 3.0 for number in range(cold)}
-    placer = Placer(health=HealthTracker(), pace=pacer(**until))
+    placer = Placer(health=HealthTracker(), pacer=pacer(**until))
     engines = [report(f'e{number}') for number in range(28)]
     rng = random.Random(1)
     sent = {}
@@ -132,7 +132,7 @@
     engines = [report(f'e{number}') for number in range(4)]
     until = {f'e{number}': 3.0 for number in range(4)}
     pacers = [pacer(name=f'g{number}', **until) for number in range(30)]
-    placers = [Placer(health=HealthTracker(), pace=each) for each in pacers]
+    placers = [Placer(health=HealthTracker(), pacer=each) for each in pacers]
     peers = frozenset(each.name for each in pacers)
     rng = random.Random(1)
     sent = {}
@@ -176,7 +176,7 @@
     assert directory.delta(request, 10).reports[0].cold_left_s == 1.0
 
 
-def news(**fields):
+def watch_update(**fields):
     known = {'epoch': 'e', 'upto': 1, 'whole': True, 'warm': False}
     return WatchUpdate(**(known | fields))
 
@@ -189,11 +189,11 @@
         )
         follower.table = RouteTable(number=1, services={LLM.name: LLM})
         both = (report('e0', zone='a'), report('e1', zone='b'))
-        follower.apply(news(reports=both, zones=DrainedZones(change=1, names=('a',))))
+        follower.apply(watch_update(reports=both, zones=DrainedZones(change=1, names=('a',))))
         follower.cold_servers.observed_since = float('-inf')
         now = node.clock.now()
         assert follower.cold_servers.cold_until(BackendId('e0'), COLD) <= now
-        follower.apply(news(zones=DrainedZones(change=2)))
+        follower.apply(watch_update(zones=DrainedZones(change=2)))
         assert follower.cold_servers.cold_until(BackendId('e0'), COLD) > now + 2.9
         assert follower.cold_servers.cold_until(BackendId('e1'), COLD) <= now + 0.1
 
@@ -206,7 +206,7 @@
         follower = Follower(
             node=node, client=CallClient(node=node), addresses=('c1',), on_change=lambda: None
         )
-        follower.apply(news(reports=(report('e0'),)))
+        follower.apply(watch_update(reports=(report('e0'),)))
         now = node.clock.now()
         assert now < follower.cold_servers.cold_until(BackendId('e0'), COLD) <= now + 3
 
--- a/tests/test_gateway/test_following/test_following_ends.py
+++ b/tests/test_gateway/test_following/test_following_ends.py
@@ -44,41 +44,41 @@
 class Pool:
     """Return scripted results of connection attempts; the last one repeats."""
 
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *results):
+        self.results = list(results)
         self.connect_count = 0
 
     async def connect(self, address, *, timeout_s):
         self.connect_count += 1
-        answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-        if answer == 'listens':
+        result = self.results.pop(0) if len(self.results) > 1 else self.results[0]
+        if result == 'listens':
             return SimpleNamespace(close=lambda: None)
-        raise {'refused': RefusedError, 'silent': ChannelError}[answer](answer, sent=False)
+        raise {'refused': RefusedError, 'silent': ChannelError}[result](result, sent=False)
 
 
 class Leader:
     """Return scripted replies; the last one repeats."""
 
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *replies):
+        self.replies = list(replies)
         self.ends = []
 
     async def call(self, address, method, message, *, timeout_s):
-        answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-        if answer == 'lost':
+        reply = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
+        if reply == 'lost':
             raise UnreachableError('lost')
         self.ends.append(message.ends)
-        return SimpleNamespace(body=answer)
+        return SimpleNamespace(body=reply)
 
 
-def reporter_of(clock, pool, leader, on_crash=lambda end, at: None):
+def reporter_of(clock, pool, leader, on_crash=lambda crash, at: None):
     return CrashReporter(
         node=Node(name='g', role='gateway', address='', secret=b's', clock=clock),
         client=leader,
         follower=SimpleNamespace(is_connected=True, leader='c1', epoch='e1'),
         health=HealthTracker(),
         pool=pool,
-        served=RecentAnswers(),
+        recent_answers=RecentAnswers(),
         on_crash=on_crash,
     )
 
@@ -109,9 +109,9 @@
 def test_crash_is_reported_when_probes_are_lost(lost):
     leader = Leader(HEARD)
     retried_at, reporter = run_crash_check(Pool(*['silent'] * lost, 'refused'), leader)
-    ((end,),) = leader.ends
-    assert end.suspects == (SUSPECT,)
-    assert end.age_ms < SAME_CRASH_TOLERANCE_S * 1000
+    ((crash,),) = leader.ends
+    assert crash.suspects == (SUSPECT,)
+    assert crash.age_ms < SAME_CRASH_TOLERANCE_S * 1000
     assert retried_at < PROBE_S
     assert not reporter.reprobing
 
@@ -158,9 +158,9 @@
 def test_crash_that_the_leader_has_not_received_is_reported_again(answer):
     leader = Leader(answer, HEARD)
     _, reporter = run_crash_check(Pool('refused'), leader)
-    ((end,),) = leader.ends[-1:]
-    assert end.suspects == (SUSPECT,)
-    assert end.age_ms >= REPORT_RETRY_S * 1000
+    ((crash,),) = leader.ends[-1:]
+    assert crash.suspects == (SUSPECT,)
+    assert crash.age_ms >= REPORT_RETRY_S * 1000
     assert all(crash.acknowledged for crash in reporter.observed)
 
 
@@ -220,4 +220,4 @@
 
     retried_at, ends = run_virtual(main)
     assert retried_at == 0
-    assert [end.suspects for (end,) in ends] == [(SUSPECT,)]
+    assert [crash.suspects for (crash,) in ends] == [(SUSPECT,)]
--- a/tests/test_gateway/test_following/test_following_guard.py
+++ b/tests/test_gateway/test_following/test_following_guard.py
@@ -110,9 +110,9 @@
             await gateway.fetch('/cut/x')
             await mate
             (seen,) = gateway.role.guard.crashes.observed
-        found = {suspect.content for suspect in seen.end.suspects}
+        found = {suspect.content for suspect in seen.crash.suspects}
         assert found == {content('/cut/x'), content('/cut/mate')}
-        assert {suspect.account for suspect in seen.end.suspects} == {'acme'}
+        assert {suspect.account for suspect in seen.crash.suspects} == {'acme'}
         assert not gateway.role.guard.crashes.in_flight.by_server
 
     asyncio.run(run())
@@ -131,7 +131,7 @@
             await gateway.fetch('/idem/x')
             await guard.crashes.check_crash(server)
             (seen,) = guard.crashes.observed
-        assert late in seen.end.suspects
+        assert late in seen.crash.suspects
 
     asyncio.run(run())
 
@@ -349,8 +349,8 @@
         async with LocalGateway(key_file) as gateway:
             known = {content('/idem/x'): 0}
             held = known if verdict == 'quarantined' else tuple(known)
-            news = QuarantineSnapshot(version=2, **{verdict: held})
-            gateway.role.follower.quarantine = news
+            snapshot = QuarantineSnapshot(version=2, **{verdict: held})
+            gateway.role.follower.quarantine = snapshot
             gateway.role.follower.is_connected = True
             gateway.role.follower.leader = '127.0.0.1:1'
             for number in range(5):
@@ -391,7 +391,7 @@
             await add(gateway, Crashing(), 'a', service='crops')
             await gateway.fetch('/staged/x', Pieces='2', Deadline_Ms='900')
             (seen,) = gateway.role.guard.crashes.observed
-        assert [suspect.content for suspect in seen.end.suspects] == [content('/staged/x')]
+        assert [suspect.content for suspect in seen.crash.suspects] == [content('/staged/x')]
 
     asyncio.run(run())
 
@@ -421,7 +421,7 @@
             await add(gateway, ScriptedServer(script), 'a')
             await gateway.fetch('/idem/x')
             now = gateway.role.node.clock.now()
-            assert guard.served.contains(content('/idem/x'), '', now) is survives
+            assert guard.recent_answers.contains(content('/idem/x'), '', now) is survives
             server = gateway.role.follower.view.backends[BackendId('a')]
             guard.crashes.request_sent(
                 server, 'r9', Suspect(content=content('/idem/x'), account='acme')
--- a/tests/test_gateway/test_requests/test_requests_admission.py
+++ b/tests/test_gateway/test_requests/test_requests_admission.py
@@ -23,8 +23,8 @@
 )
 
 
-def request_context(left_s=10.0, arrived=0.0, **fields):
-    request = ClientRequest(attempt_id='a', host='h', path='/', time_left_s=left_s, key='')
+def request_context(remaining_s=10.0, arrived=0.0, **fields):
+    request = ClientRequest(attempt_id='a', host='h', path='/', time_left_s=remaining_s, key='')
     return RequestContext(
         exchange=SimpleNamespace(),
         request=request,
@@ -33,7 +33,7 @@
         account=None,
         content_id=ContentId('c1'),
         arrived=arrived,
-        deadline=arrived + min(left_s or 10, 10),
+        deadline=arrived + min(remaining_s or 10, 10),
         **fields,
     )
 
@@ -47,7 +47,7 @@
 def test_retry_of_a_refused_client_is_admitted():
     admission = Admission(seed='x')
     assert admission.check(request_context(), 4, 0)
-    retry = request_context(left_s=8.5, arrived=1.5, since_first_attempt_s=1.5)
+    retry = request_context(remaining_s=8.5, arrived=1.5, since_first_attempt_s=1.5)
     assert admission.check(retry, 4, 1.5) is None
     assert retry.scheduling_deadline == 10
 
@@ -55,7 +55,7 @@
 def test_client_without_a_chance_is_refused_again():
     admission = Admission(seed='x')
     admission.check(request_context(), 4, 0)
-    assert admission.check(request_context(left_s=3, arrived=7), 4, 7)
+    assert admission.check(request_context(remaining_s=3, arrived=7), 4, 7)
 
 
 def test_retry_after_stays_within_what_clients_honour():
@@ -77,7 +77,8 @@
 
 def test_objective_counts_from_the_first_attempt():
     assert (
-        request_context(left_s=8.5, arrived=1.5, since_first_attempt_s=1.5).objective_deadline == 2
+        request_context(remaining_s=8.5, arrived=1.5, since_first_attempt_s=1.5).objective_deadline
+        == 2
     )
 
 
--- a/tests/test_gateway/test_requests/test_requests_limits.py
+++ b/tests/test_gateway/test_requests/test_requests_limits.py
@@ -128,7 +128,7 @@
 def test_response_of_an_unknown_server_is_ignored(key_file):
     async def run():
         async with LocalGateway(key_file) as gateway:
-            marks = ResponseMetadata(
+            metadata = ResponseMetadata(
                 attempt_id='',
                 authentic=False,
                 not_run=True,
@@ -138,9 +138,9 @@
                 pause_s=3,
                 leaving=True,
             )
-            words = gateway.role.words
-            words.record(BackendId(''), marks)
-        assert (words.limits.by_server, words.pauses.until, words.leaving) == ({}, {}, set())
+            notices = gateway.role.notices
+            notices.record(BackendId(''), metadata)
+        assert (notices.limits.by_server, notices.pauses.until, notices.leaving) == ({}, {}, set())
 
     asyncio.run(run())
 
@@ -156,7 +156,7 @@
         async with LocalGateway(key_file) as gateway:
             gateway.add_server(await server.start(), name='s')
             await gateway.fetch('/idem/x')
-            assert gateway.role.words.limits.of(BackendId('s')).per_s == 1
+            assert gateway.role.notices.limits.of(BackendId('s')).per_s == 1
             headers['extra'] = ''
             await asyncio.sleep(1)
             responses = await burst(gateway, '/idem/x')
--- a/tests/test_gateway/test_requests/test_requests_relay.py
+++ b/tests/test_gateway/test_requests/test_requests_relay.py
@@ -116,3 +116,9 @@
     assert client.starts == 1
     if end is StreamOutcome.complete:
         assert last_event == LAST_EVENT
+
+
+def test_empty_resumed_stream_before_the_last_event_is_not_complete():
+    """The second server skips the last event: its stream is empty and ends properly."""
+    check = test_client_gets_each_event_once_and_in_order.hypothesis.inner_test
+    check(servers=[(0, 164, 1), (1, 0, 1)], first_seen=1)
--- a/tests/test_gateway/test_stages/test_stages_graph.py
+++ b/tests/test_gateway/test_stages/test_stages_graph.py
@@ -84,7 +84,7 @@
 
 def run_of(stages, counts, pieces):
     request = SimpleNamespace(attempt_id='r', pieces=tuple(counts), piece_key='k')
-    work = SimpleNamespace(
+    context = SimpleNamespace(
         route=SimpleNamespace(stages=tuple(stages)),
         request=request,
         scheduling_deadline=10,
@@ -105,7 +105,7 @@
         }
     )
     return StageRun(
-        work=work,
+        context=context,
         pieces=pieces,
         clock=PausedClock(),
         table=table,
@@ -221,7 +221,7 @@
     pieces = FakePieceClient(fault_at=0)
     pieces.fault = PieceFault.input_lost
     run = run_of([stage()], [1], pieces)
-    run.clock.advance(run.work.deadline - 0.2)
+    run.clock.advance(run.context.deadline - 0.2)
     assert asyncio.run(run.run()).fault is PieceFault.input_lost
     assert len(pieces.started) == 1
 
--- a/tests/test_ledger/test_ledger_differential.py
+++ b/tests/test_ledger/test_ledger_differential.py
@@ -193,3 +193,10 @@
     for answer in (first, kept_answer('t', b'second')):
         standing = ledger.record(RecordStage(account='a', key='k1', stage='s1', answer=answer))
         assert standing.record.answer == first
+
+
+def test_claim_after_not_run_clears_the_answer():
+    """Ledger and reference differ in the answer after a stage that did not run is claimed again."""
+    check = test_same_as_naive.hypothesis.inner_test
+    claimed = ('claim', 'k2', 's1', 'r1')
+    check([claimed, ('end', 'k2', 's1', 1, StageState.not_run), claimed])
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -44,17 +44,17 @@
     """A quarantine with a manual clock."""
 
     def __init__(self):
-        self.book = Quarantine()
+        self.quarantine = Quarantine()
         self.now = 0.0
 
     def crash(self, *crashes):
         for one in crashes:
-            self.book.record_crash(one, self.now)
+            self.quarantine.record_crash(one, self.now)
         self.now += STEP_S
-        return self.book.evaluate(self.now)
+        return self.quarantine.evaluate(self.now)
 
     def ask(self, content, duration_s=5.0):
-        return self.book.request_run(content, self.now, duration_s)
+        return self.quarantine.request_run(content, self.now, duration_s)
 
 
 def test_third_crash_quarantines():
@@ -79,8 +79,8 @@
     harness = QuarantineHarness()
     harness.now = 100
     for age_ms in (0, 0, 5000, 5100):
-        harness.book.record_crash(crash('a', CRASHING, age_ms=age_ms), harness.now)
-    assert len(harness.book.evidence.crashes) == 2
+        harness.quarantine.record_crash(crash('a', CRASHING, age_ms=age_ms), harness.now)
+    assert len(harness.quarantine.evidence.crashes) == 2
 
 
 def test_after_the_second_crash_only_one_trial_runs_at_a_time():
@@ -104,19 +104,19 @@
     """Another gateway may report a harmless content at the same crashes a little later."""
     harness = QuarantineHarness()
     for server in 'abc':
-        harness.book.record_crash(crash(server, CRASHING), harness.now)
-    assert harness.book.evaluate(harness.now + REPORT_SETTLE_S / 2) == []
+        harness.quarantine.record_crash(crash(server, CRASHING), harness.now)
+    assert harness.quarantine.evaluate(harness.now + REPORT_SETTLE_S / 2) == []
     assert harness.ask(CRASHING) is TrialState.busy
-    assert harness.book.evaluate(harness.now + REPORT_SETTLE_S) == [CRASHING]
+    assert harness.quarantine.evaluate(harness.now + REPORT_SETTLE_S) == [CRASHING]
 
 
 def test_verdict_clears_other_suspects_of_the_same_crashes():
     harness = QuarantineHarness()
     harness.crash(crash('a', CRASHING, 'x', 'y'))
     harness.crash(crash('b', CRASHING, 'x'))
-    assert harness.book.suspects == {CRASHING, 'x'}
+    assert harness.quarantine.suspects == {CRASHING, 'x'}
     assert harness.crash(crash('c', CRASHING, 'y')) == [CRASHING]
-    assert not harness.book.suspects
+    assert not harness.quarantine.suspects
     assert harness.ask('x') is TrialState.granted
 
 
@@ -147,7 +147,7 @@
         harness.crash(crash(server, CRASHING, 'mate'))
     harness.crash(crash('d', CRASHING))
     assert harness.ask('mate') is TrialState.granted
-    harness.book.record_answer('mate', 'v1', harness.now)
+    harness.quarantine.record_answer('mate', 'v1', harness.now)
     assert [harness.ask('mate'), harness.ask('mate')] == [TrialState.granted] * 2
 
 
@@ -155,8 +155,8 @@
     harness = QuarantineHarness()
     for server in 'abc':
         harness.crash(crash(server, CRASHING, 'twin'))
-    harness.book.record_answer('twin', 'v1', harness.now)
-    assert harness.book.evaluate(harness.now) == [CRASHING]
+    harness.quarantine.record_answer('twin', 'v1', harness.now)
+    assert harness.quarantine.evaluate(harness.now) == [CRASHING]
 
 
 def test_ambiguous_contents_cost_five_servers_at_most():
@@ -172,15 +172,15 @@
 def test_recently_answered_content_is_not_suspected():
     """A popular content is in flight at every crash, for example when a rack fails."""
     harness = QuarantineHarness()
-    harness.book.record_answer('popular', 'v1', harness.now)
+    harness.quarantine.record_answer('popular', 'v1', harness.now)
     for number in range(20):
         assert harness.crash(crash(f's{number}', 'popular')) == []
-    assert not harness.book.suspects
+    assert not harness.quarantine.suspects
 
 
 def test_answer_by_another_version_proves_nothing():
     harness = QuarantineHarness()
-    harness.book.record_answer(CRASHING, 'v1', harness.now)
+    harness.quarantine.record_answer(CRASHING, 'v1', harness.now)
     for server in 'ab':
         harness.crash(crash(server, CRASHING, software='v2'))
     assert harness.crash(crash('c', CRASHING, software='v2')) == [CRASHING]
@@ -190,7 +190,7 @@
     harness = QuarantineHarness()
     for server in 'abc':
         harness.crash(crash(server, 'slow'))
-    harness.book.record_answer('slow', 'v1', harness.now)
+    harness.quarantine.record_answer('slow', 'v1', harness.now)
     assert harness.ask('slow') is TrialState.granted
 
 
@@ -200,12 +200,12 @@
     for server in 'abc':
         harness.crash(crash(server, CRASHING))
     for _ in range(REPORTS_TO_REFUTE):
-        harness.book.record_report('c', harness.now)
+        harness.quarantine.record_report('c', harness.now)
     harness.now += REFUTE_DELAY_S
-    harness.book.record_report('c', harness.now)
+    harness.quarantine.record_report('c', harness.now)
     assert harness.ask(CRASHING) is TrialState.quarantined
     harness.now += REPORT_SPACING_S
-    harness.book.record_report('c', harness.now)
+    harness.quarantine.record_report('c', harness.now)
     assert harness.ask(CRASHING) is TrialState.granted
 
 
@@ -216,7 +216,7 @@
         harness.crash(crash(server, CRASHING))
     harness.now += 2 * REFUTE_DELAY_S
     for _ in range(2 * REPORTS_TO_REFUTE):
-        harness.book.record_report('c', harness.now)
+        harness.quarantine.record_report('c', harness.now)
         harness.now += REPORT_SPACING_S / 10
     assert harness.ask(CRASHING) is TrialState.quarantined
 
@@ -225,21 +225,21 @@
     harness = QuarantineHarness()
     for server in 'abc':
         harness.crash(crash(server, CRASHING))
-    assert harness.book.update_software('s', {'v1', 'v2'}) == []
-    assert harness.book.update_software('other', {'v2'}) == []
-    assert harness.book.update_software('s', {'v2'}) == [CRASHING]
+    assert harness.quarantine.update_software('s', {'v1', 'v2'}) == []
+    assert harness.quarantine.update_software('other', {'v2'}) == []
+    assert harness.quarantine.update_software('s', {'v2'}) == [CRASHING]
     assert [harness.ask(CRASHING), harness.ask(CRASHING)] == [TrialState.granted, TrialState.busy]
     assert harness.crash(crash('d', CRASHING, software='v2')) == [CRASHING]
-    assert harness.book.update_software('s', {'v2'}) == []
+    assert harness.quarantine.update_software('s', {'v2'}) == []
 
 
 def test_content_answered_by_a_new_release_is_released():
     harness = QuarantineHarness()
     for server in 'abc':
         harness.crash(crash(server, CRASHING))
-    harness.book.update_software('s', {'v2'})
-    harness.book.record_answer(CRASHING, 'v2', harness.now)
-    assert not harness.book.suspects
+    harness.quarantine.update_software('s', {'v2'})
+    harness.quarantine.record_answer(CRASHING, 'v2', harness.now)
+    assert not harness.quarantine.suspects
     assert [harness.ask(CRASHING), harness.ask(CRASHING)] == [TrialState.granted] * 2
 
 
@@ -248,10 +248,10 @@
     harness = QuarantineHarness()
     for server in 'abc':
         harness.crash(crash(server, CRASHING))
-    harness.book.update_software('s', {'v2'})
+    harness.quarantine.update_software('s', {'v2'})
     assert harness.crash(crash('d', CRASHING, software='v2')) == [CRASHING]
-    assert harness.book.update_software('s', {'v1'}) == []
-    assert harness.book.update_software('s', {'v3'}) == [CRASHING]
+    assert harness.quarantine.update_software('s', {'v1'}) == []
+    assert harness.quarantine.update_software('s', {'v3'}) == [CRASHING]
 
 
 def test_verdict_is_lifted_after_one_hour_and_then_after_two():
@@ -260,10 +260,10 @@
         harness.crash(crash(server, CRASHING))
     for times in (1, 2):
         harness.now += times * RETEST_AFTER_S - 1
-        harness.book.evaluate(harness.now)
+        harness.quarantine.evaluate(harness.now)
         assert harness.ask(CRASHING) is TrialState.quarantined
         harness.now += 2
-        harness.book.evaluate(harness.now)
+        harness.quarantine.evaluate(harness.now)
         assert harness.ask(CRASHING) is TrialState.granted
         assert harness.crash(crash(f'later-{times}', CRASHING)) == [CRASHING]
 
@@ -273,7 +273,7 @@
     for number in range(VERDICTS_TO_CONFINE):
         for server in 'abc':
             harness.crash(crash(f'{server}{number}', f'bad-{number}', account='mallory'))
-    assert harness.book.confined == {('mallory', 's')}
+    assert harness.quarantine.confined == {('mallory', 's')}
     assert harness.crash(crash('next', 'bad-new', account='mallory')) == ['bad-new']
     assert harness.crash(crash('mixed', 'bad-1st', 'bad-2nd', account='mallory')) == []
     assert harness.crash(crash('alien', 'other', account='acme')) == []
@@ -286,13 +286,13 @@
     for number in range(VERDICTS_TO_CONFINE):
         for server in 'abc':
             harness.crash(crash(f'{server}{number}', f'bad-{number}', account='mallory'))
-        versions.append((bool(harness.book.confined), harness.book.version))
+        versions.append((bool(harness.quarantine.confined), harness.quarantine.version))
     assert [confined for confined, _ in versions] == [False, False, True]
     harness.now += CONFINEMENT_WINDOW_S
-    harness.book.evaluate(harness.now)
-    assert not harness.book.confined
-    assert harness.book.version > versions[-1][1]
-    assert len(harness.book.verdicts) == VERDICTS_TO_CONFINE
+    harness.quarantine.evaluate(harness.now)
+    assert not harness.quarantine.confined
+    assert harness.quarantine.version > versions[-1][1]
+    assert len(harness.quarantine.verdicts) == VERDICTS_TO_CONFINE
 
 
 def test_verdicts_far_apart_confine_no_account():
@@ -301,17 +301,17 @@
         for server in 'abc':
             harness.crash(crash(f'{server}{number}', f'bad-{number}', account='mallory'))
         harness.now += CONFINEMENT_WINDOW_S / (VERDICTS_TO_CONFINE - 1)
-    assert not harness.book.confined
+    assert not harness.quarantine.confined
 
 
 def test_recorded_verdicts_confine_no_account():
     """The leader changes long after the contents were quarantined."""
-    book = Quarantine()
+    quarantine = Quarantine()
     for number in range(VERDICTS_TO_CONFINE):
         held = Verdict(service='s', account='mallory', software=frozenset({'v1'}), quarantined_at=0)
-        book.restore(f'bad-{number}', held)
-    book.evaluate(0)
-    assert not book.confined
+        quarantine.restore(f'bad-{number}', held)
+    quarantine.evaluate(0)
+    assert not quarantine.confined
 
 
 def test_memory_is_bounded():
@@ -319,28 +319,28 @@
     for number in range(MAX_VERDICTS + 50):
         for server in 'abc':
             harness.crash(crash(f'{server}{number}', f'bad-{number}', account=''))
-    assert len(harness.book.verdicts) == MAX_VERDICTS
-    assert len(harness.book.evidence.crashes) <= MAX_CRASHES
-    assert len(harness.book.evidence.crashes_by_content) <= MAX_CRASHES
+    assert len(harness.quarantine.verdicts) == MAX_VERDICTS
+    assert len(harness.quarantine.evidence.crashes) <= MAX_CRASHES
+    assert len(harness.quarantine.evidence.crashes_by_content) <= MAX_CRASHES
 
 
 def test_recorded_verdict_is_in_force_at_once():
-    book = Quarantine()
-    book.restore(
+    quarantine = Quarantine()
+    quarantine.restore(
         CRASHING, Verdict(service='s', account='', software=frozenset({'v1'}), quarantined_at=0)
     )
-    assert book.request_run(CRASHING, 0, 1) is TrialState.quarantined
+    assert quarantine.request_run(CRASHING, 0, 1) is TrialState.quarantined
 
 
 def test_version_grows_with_published_changes_only():
     harness = QuarantineHarness()
-    versions = [harness.book.version]
+    versions = [harness.quarantine.version]
     for server in 'abc':
         harness.crash(crash(server, CRASHING))
-        versions.append(harness.book.version)
+        versions.append(harness.quarantine.version)
     assert versions[0] == versions[1] < versions[2] < versions[3]
     harness.ask(CRASHING)
-    assert harness.book.version == versions[3]
+    assert harness.quarantine.version == versions[3]
 
 
 def reference_verdicts(crashes, served):
@@ -376,13 +376,13 @@
 def test_verdicts_match_the_reference_implementation(ends, served):
     harness = QuarantineHarness()
     for content in served:
-        harness.book.record_answer(content, 'v1', harness.now)
+        harness.quarantine.record_answer(content, 'v1', harness.now)
     verdicts = []
     for number, contents in enumerate(ends):
         verdicts += harness.crash(crash(f's{number}', *sorted(contents), account=''))
         # A verdict explains crashes, which may lead to the next verdict.
-        verdicts += harness.book.evaluate(harness.now)
-        verdicts += harness.book.evaluate(harness.now)
+        verdicts += harness.quarantine.evaluate(harness.now)
+        verdicts += harness.quarantine.evaluate(harness.now)
     assert verdicts == reference_verdicts([set(one) for one in ends], served)
 
 
--- a/tests/test_retries/test_retries_window.py
+++ b/tests/test_retries/test_retries_window.py
@@ -51,5 +51,5 @@
 
 def test_retry_that_exceeds_the_time_left_is_not_counted():
     budget = WindowRetries(ratio=0, slack=1, window_s=WINDOW_S)
-    assert not budget.may_retry(Retry(service=SERVICE, now=0, left_s=0.1, needed_s=0.2))
-    assert budget.may_retry(Retry(service=SERVICE, now=0, left_s=0.2, needed_s=0.1))
+    assert not budget.may_retry(Retry(service=SERVICE, now=0, remaining_s=0.1, needed_s=0.2))
+    assert budget.may_retry(Retry(service=SERVICE, now=0, remaining_s=0.2, needed_s=0.1))
