--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -105,7 +105,7 @@
         'no check of the quorum by the leader',
         'ringseam/control/raft.py',
         'if reachable < self.membership.quorum:',
-        'if heard < 0:',
+        'if reachable < 0:',
         CONTROL,
     ),
     Mutation(
@@ -147,7 +147,7 @@
         'damage in the middle is cut like a torn tail',
         'ringseam/control/storage.py',
         'if bad_offset is not None and (not last or _has_valid_record_after(raw, bad_offset)):',
-        'if bad is not None and not last:',
+        'if bad_offset is not None and not last:',
         CONTROL,
     ),
     Mutation(
